--- a/packages/coordination/src/freshness/freshness.ts
+++ b/packages/coordination/src/freshness/freshness.ts
@@ -1,74 +1,74 @@
 /**
- * How old what a process knows of a shared table may be.
+ * Staleness bound for a process's copy of a shared table.
  *
- * Answers rights that are taken away. A process that cannot ask the table must stop
- * relying on what it read, and must know when: later than allowed, and a right that is
- * gone is still granted. So a process counts from the start of the reading that gave
- * what it knows, since a change may have been accepted at any moment after that; what
- * it hears through others counts from the start of their reading, with the time on the
- * way added. No wall-clock time is ever told.
+ * Needed for revocation: a process that cannot read the table must stop relying on its
+ * copy in time, or it still grants a right that has been revoked. The age of a copy
+ * counts from the start of the read that returned it, since a change may have been
+ * accepted at any moment after that. A copy received from another process counts from
+ * the start of that process's read, with the time in transit added. Messages carry
+ * durations only, never wall-clock times.
  *
- * Times are milliseconds of the process's own steady clock, which must go on while the
- * process is suspended.
+ * Times are milliseconds of the process's own monotonic clock, which must keep running
+ * while the process is suspended.
  *
  * @module
  */
 
-/** A reading of the table. */
+/** Start and end of a read of the table. */
 export interface Reading {
   readonly startedAt: number;
   readonly endedAt: number;
 }
 
-/** What a process tells another of the age of what it knows; durations alone. */
+/** Age of a process's copy as reported to another process; durations only. */
 export interface FreshnessWord {
-  /** Time since the reading began that gave it, in milliseconds. */
+  /** Time since the start of the read that returned the copy, in milliseconds. */
   readonly readAgeMs: number;
-  /** Time between the question and this answer, in milliseconds. */
+  /** Time between receipt of the request and this response, in milliseconds. */
   readonly heldMs: number;
 }
 
-/** A question to another process and its answer, on the asking one's clock. */
+/** Times of a request and its response, both on the clock of the process that uses them. */
 export interface Question {
   readonly askedAt: number;
   readonly answeredAt: number;
 }
 
-/** Since when what a reading gave is known to be complete. */
+/** Time up to which the result of a read is known to be complete. */
 export function knownSinceReading({ startedAt }: Reading): number {
   return startedAt;
 }
 
 /**
- * Since when what another process told is known to be complete. The time on the way is
- * not known for each direction, so all of it counts.
+ * Time up to which a copy received from another process is known to be complete. Only
+ * the total transit time of both directions is known, so all of it counts as age.
  */
 export function knownSinceWord(
   { readAgeMs, heldMs }: FreshnessWord,
   { askedAt, answeredAt }: Question,
 ): number {
-  const wayMs = Math.max(0, answeredAt - askedAt - heldMs);
-  return answeredAt - wayMs - readAgeMs;
+  const transitMs = Math.max(0, answeredAt - askedAt - heldMs);
+  return answeredAt - transitMs - readAgeMs;
 }
 
-/** What a process that knows everything up to `knownSince` tells one that asked at `askedAt`. */
+/** The age report of a process whose copy is complete up to `knownSince`, in its response to a request. */
 export function freshnessWord(
   knownSince: number,
   { askedAt, answeredAt }: Question,
 ): FreshnessWord {
-  // Rounded so that the age is never told too short, nor the time on the way.
+  // Rounded so that the receiver underestimates neither the age nor the transit time.
   return {
     readAgeMs: Math.ceil(answeredAt - knownSince),
     heldMs: Math.floor(answeredAt - askedAt),
   };
 }
 
-/** What is known once both are: nothing is unlearned. */
+/** The later of two times up to which a copy is complete: a copy never becomes older. */
 export function newest(knownSince: number, other: number): number {
   return Math.max(knownSince, other);
 }
 
-/** Whether what is known may be relied on at this age. */
+/** Whether a copy of this age may be relied on. */
 export function isReliable(ageMs: number, boundMs: number): boolean {
   return ageMs <= boundMs;
 }
--- a/packages/coordination/src/freshness/mod.ts
+++ b/packages/coordination/src/freshness/mod.ts
@@ -1,5 +1,5 @@
 /**
- * How old what a process knows of a shared table may be.
+ * Staleness bound for a process's copy of a shared table.
  *
  * @module
  */
--- a/packages/daemon/src/gateway/accounts/accounts.ts
+++ b/packages/daemon/src/gateway/accounts/accounts.ts
@@ -1,6 +1,6 @@
 /**
- * What this VM does about client accounts: which keys it may rely on, and credit for
- * their requests.
+ * Client accounts on this VM: whether its list of keys is recent enough to
+ * authenticate callers, and quota credit for their requests.
  *
  * @module
  */
@@ -14,28 +14,28 @@
 import { type Credit, CreditExchange } from "./credit_exchange.ts";
 import { CreditLedger } from "./credit_ledger.ts";
 
-/** How much earlier than allowed a VM stops relying on the keys that it knows, in milliseconds: a store that loses its history may tell of changes a second late. */
+/** Safety margin by which a VM stops using its list of keys before the revocation bound: a store that loses its history may deliver changes a second late. */
 const REVOCATION_MARGIN_MS = 1_200;
-/** Characters of a key's digest in the log: enough to tell keys apart. */
-const KEY_DIGITS = 8;
+/** Characters of a key's digest that are logged: enough to distinguish keys. */
+const LOGGED_DIGEST_LENGTH = 8;
 
-/** What it works with. */
+/** Dependencies of {@link Accounts}. */
 export interface AccountsOptions {
   readonly settings: GatewaySettings;
   readonly vms: VmDirectory;
-  /** The accounts in force; undefined where callers need none. */
+  /** The accounts in force; undefined where callers need no account. */
   index(): AccountIndex | undefined;
-  /** Time since the reading of the store began that gave what is known of the configuration, in milliseconds. */
+  /** Time since the start of the store read that returned the configuration known here, in milliseconds. */
   readAgeMs(): number;
 }
 
-/** See the module's comment. */
+/** Account state of this VM; see the module comment. */
 export class Accounts {
-  /** The task that asks for credit and gives it; its owner supervises it. */
-  readonly credit: CreditExchange;
+  /** The task that requests and grants credit; the gateway's supervisor runs it. */
+  readonly creditExchange: CreditExchange;
   readonly #options: AccountsOptions;
   readonly #ledger: CreditLedger;
-  /** From then on there may have been a newer configuration than the one in force, which could not be used. */
+  /** Time since which a newer, unusable configuration may exist; undefined while there is none. */
   #unusableSince: number | undefined;
 
   constructor(options: AccountsOptions) {
@@ -49,10 +49,11 @@
       regions: new Set(zones.values()).size,
       upInRegion,
       knownInRegion: () => vms.knownInRegion(performance.now()),
-      quotaOf: (account) => index()?.named(account)?.quota,
-      short: (account, wanted) => this.credit.borrow(account, wanted),
+      quotaOf: (account) => index()?.get(account)?.quota,
+      onShortage: (account, wanted) =>
+        this.creditExchange.borrow(account, wanted),
     });
-    this.credit = new CreditExchange({
+    this.creditExchange = new CreditExchange({
       listen: listen.credit,
       self: vms.self,
       ledger: this.#ledger,
@@ -61,7 +62,7 @@
     });
   }
 
-  /** Age of what is in force here of the accounts, in milliseconds. */
+  /** Age of the accounts in force on this VM, in milliseconds. */
   get ageMs(): number {
     const readAgeMs = this.#options.readAgeMs();
     return this.#unusableSince === undefined
@@ -69,43 +70,43 @@
       : Math.max(readAgeMs, performance.now() - this.#unusableSince);
   }
 
-  /** Whether this VM knows of every key that was taken away longer ago than the deployment allows. */
+  /** Whether this VM knows of every key revoked longer ago than the deployment's revocation bound. */
   knowsRevocations(): boolean {
     const { revocationMs } = this.#options.settings.bounds;
     return revocationMs === undefined ||
       isReliable(this.ageMs, revocationMs - REVOCATION_MARGIN_MS);
   }
 
-  /** Asks for the credit of one request; `done` is called once, perhaps before this returns. */
+  /** Requests the credit for one request; calls `done` once, possibly synchronously. */
   requestCredit(account: AccountId, done: (credit: Credit) => void): void {
-    this.credit.request(account, done);
+    this.creditExchange.request(account, done);
   }
 
-  /** A request that was granted credit did not run. */
-  giveBackCredit(account: AccountId): void {
-    this.credit.giveBack(account);
+  /** Refunds the credit of a request that did not run. */
+  refundCredit(account: AccountId): void {
+    this.creditExchange.refund(account);
   }
 
-  /** A configuration is in force. */
-  configured(): void {
+  /** Handles a new configuration in force. */
+  configurationApplied(): void {
     this.#unusableSince = undefined;
-    this.#ledger.keepOnly(this.#options.index()?.ids ?? new Set());
+    this.#ledger.retainOnly(this.#options.index()?.ids ?? new Set());
   }
 
-  /** A newer configuration than the one in force cannot be used. */
-  misconfigured(): void {
+  /** Handles a newer configuration that cannot be used. */
+  configurationRejected(): void {
     this.#unusableSince ??= performance.now() - this.ageMs;
   }
 
-  /** What the log says of who sent a request that was refused. */
-  fieldsOf(
+  /** Log fields that identify the sender of a refused request. */
+  logFieldsOf(
     request: CallerRequest | undefined,
   ): { readonly key?: string; readonly accountsMs?: number } {
     if (request?.credential.kind !== "key") {
       return {};
     }
     return {
-      key: request.credential.digest.slice(0, KEY_DIGITS),
+      key: request.credential.digest.slice(0, LOGGED_DIGEST_LENGTH),
       accountsMs: Math.round(this.ageMs),
     };
   }
--- a/packages/daemon/src/gateway/accounts/admission.ts
+++ b/packages/daemon/src/gateway/accounts/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Who may have a request run: decided before the request waits for a target, and
- * looked at again whenever it is about to be sent.
+ * Admission control: decides which callers may run a request. The decision is made
+ * before the request waits for a target and checked again before each send.
  *
  * @module
  */
@@ -17,52 +17,52 @@
 import type { OwnAnswerReason } from "../own_answer.ts";
 import type { CallerRequest } from "../ports.ts";
 
-/** Retry-After while this VM does not know which keys are valid, in milliseconds: a read of the store, or of a peer's news, takes some 10 to 200. */
+/** Retry-After while this VM does not know which keys are valid: reading the store, or the changes that a peer relays, takes about 10 to 200 ms. */
 const ACCOUNTS_UNKNOWN_RETRY_MS = 250;
 
-/** Why a request is not let in. */
+/** Why a request is refused. */
 export interface AdmissionRefusal {
   readonly reason: OwnAnswerReason;
   readonly retryAfterMs: number | undefined;
 }
 
-/** A request that is let in. */
+/** An admitted caller of one request. */
 export interface AdmittedCaller {
-  /** Undefined where nobody asks who sends it. */
+  /** Undefined for anonymous requests. */
   readonly account: AccountId | undefined;
-  /** Rank among requests that wait; lower ones go first. */
+  /** Rank in the wait queue; lower ranks go first. */
   readonly rank: number;
-  /** Regions in which it may run; empty for all. */
+  /** Regions in which the request may run; empty for all. */
   readonly regions: readonly RegionId[];
-  /** Why it must not be sent any more; undefined while it may. */
+  /** Checks again before a send; returns the refusal, or undefined if the request may still be sent. */
   recheck(): AdmissionRefusal | undefined;
   /**
-   * Counts it for its account's quota, and tells why it may not run, or undefined if
-   * it may. Called once, perhaps before it returns.
+   * Charges the request to its account's quota. Calls `done` once, possibly
+   * synchronously, with the refusal, or undefined if the request may run.
    */
   count(done: (refusal: AdmissionRefusal | undefined) => void): void;
-  /** It was counted, and never ran. */
+  /** Refunds the charge of a request that never ran. */
   uncount(): void;
 }
 
-/** A decision. */
+/** An admission decision. */
 export type Admission =
   | { readonly kind: "admitted"; readonly caller: AdmittedCaller }
   | { readonly kind: "refused"; readonly refusal: AdmissionRefusal };
 
-/** What admission works with. */
+/** Dependencies of {@link AdmissionControl}. */
 export interface AdmissionOptions {
-  /** The accounts in force; undefined where callers need none. */
+  /** The accounts in force; undefined where callers need no account. */
   accounts(): AccountIndex | undefined;
-  /** Whether this VM surely knows of every key that was taken away longer ago than allowed. */
+  /** Whether this VM knows of every key revoked longer ago than the deployment's revocation bound. */
   knowsRevocations(): boolean;
-  /** Asks for the credit of one request of an account that has a quota. */
+  /** Requests the credit for one request of an account that has a quota. */
   requestCredit(account: AccountId, done: (credit: Credit) => void): void;
-  /** A request that was granted credit did not run. */
+  /** Refunds the credit of a request that did not run. */
   giveBackCredit(account: AccountId): void;
 }
 
-/** See the module's comment. */
+/** Decides which requests are admitted; see the module comment. */
 export class AdmissionControl {
   readonly #options: AdmissionOptions;
 
@@ -70,13 +70,13 @@
     this.#options = options;
   }
 
-  /** Whether a request on `route` is let in. */
+  /** Decides whether a request on `route` is admitted. */
   admit(request: CallerRequest, route: Route): Admission {
     const identity = this.#identify(request, route);
     if (identity.kind === "anonymous") {
       return { kind: "admitted", caller: anonymous(route) };
     }
-    // An old list neither proves that a key is valid nor that it is not.
+    // A stale list of keys proves neither that a key is valid nor that it is invalid.
     if (!this.#options.knowsRevocations()) {
       return refused("accounts-unknown", ACCOUNTS_UNKNOWN_RETRY_MS);
     }
@@ -86,7 +86,7 @@
       case "known":
         return {
           kind: "admitted",
-          caller: this.#known(identity, route),
+          caller: this.#admitAccount(identity, route),
         };
     }
   }
@@ -101,7 +101,7 @@
       : accounts.identify(credential, route);
   }
 
-  #known(
+  #admitAccount(
     { account, key, regions }: Extract<CallerIdentity, { kind: "known" }>,
     route: Route,
   ): AdmittedCaller {
@@ -118,7 +118,7 @@
           ? undefined
           : refusal("unauthenticated");
       },
-      count: (done) => this.#count(account, done),
+      count: (done) => this.#chargeQuota(account, done),
       uncount: () => {
         if (account.quota !== undefined) {
           this.#options.giveBackCredit(account.id);
@@ -127,7 +127,7 @@
     };
   }
 
-  #count(
+  #chargeQuota(
     { id, quota }: ClientAccount,
     done: (refusal: AdmissionRefusal | undefined) => void,
   ): void {
@@ -150,7 +150,7 @@
   }
 }
 
-/** A caller that nobody asks for a key. */
+/** The caller of a request that needs no key. */
 export function anonymous(route: Route): AdmittedCaller {
   return {
     account: undefined,
--- a/packages/daemon/src/gateway/accounts/client_account.ts
+++ b/packages/daemon/src/gateway/accounts/client_account.ts
@@ -1,5 +1,6 @@
 /**
- * Client accounts: who sends a request, by its key, and where it may run.
+ * Client accounts: identifies the sender of a request by its key and determines the
+ * regions in which the request may run.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 export interface ClientAccount {
   readonly id: AccountId;
   readonly keys: readonly KeyDigest[];
-  /** Goes before the rank of the route; undefined where the account has none. */
+  /** Takes precedence over the route's priority; undefined where the account has none. */
   readonly priority: number | undefined;
   /** Regions in which its requests may run; empty for all. */
   readonly regions: readonly RegionId[];
@@ -20,18 +21,18 @@
   readonly quota: Quota | undefined;
 }
 
-/** What the header of a request says of its sender. */
+/** The credential that a request's header carries. */
 export type Credential =
   | { readonly kind: "none" }
   | { readonly kind: "key"; readonly digest: KeyDigest }
-  /** More than one, of which nobody can say which counts. */
+  /** More than one credential, so that it is ambiguous which applies. */
   | { readonly kind: "several" }
-  /** Not by a key. */
+  /** A credential of another scheme than a key. */
   | { readonly kind: "other-scheme" };
 
-/** Who sends a request, and where it may run. */
+/** The sender of a request and the regions in which the request may run. */
 export type CallerIdentity =
-  /** Nobody is asked: there are no accounts, or the route is for everybody. */
+  /** No key is needed: no accounts are configured, or the route is public. */
   | { readonly kind: "anonymous"; readonly regions: readonly RegionId[] }
   | {
     readonly kind: "known";
@@ -44,7 +45,7 @@
     readonly reason: "unauthenticated" | "not-allowed";
   };
 
-/** The accounts of one configuration by their keys. */
+/** The accounts of one configuration, indexed by id and key. */
 export class AccountIndex {
   readonly #byId = new Map<AccountId, ClientAccount>();
   readonly #byKey = new Map<KeyDigest, ClientAccount>();
@@ -56,22 +57,22 @@
     }
   }
 
-  /** The account that holds a key; undefined where none does. */
+  /** The account that a key belongs to; undefined if there is none. */
   holderOf(key: KeyDigest): ClientAccount | undefined {
     return this.#byKey.get(key);
   }
 
-  /** The account of this name; undefined where there is none. */
-  named(id: AccountId): ClientAccount | undefined {
+  /** The account with this id; undefined if there is none. */
+  get(id: AccountId): ClientAccount | undefined {
     return this.#byId.get(id);
   }
 
-  /** Names of all accounts. */
+  /** Ids of all accounts. */
   get ids(): ReadonlySet<AccountId> {
     return new Set(this.#byId.keys());
   }
 
-  /** Who sends a request on `route`. */
+  /** Identifies the sender of a request on `route`. */
   identify(credential: Credential, route: Route): CallerIdentity {
     if (route.isPublic) {
       return { kind: "anonymous", regions: route.regions };
@@ -89,25 +90,26 @@
   }
 }
 
-/** Regions that both lists allow, an empty list being all; undefined where there is none. */
+/** Regions that both lists allow, where an empty list allows all; undefined if they have none in common. */
 function commonRegions(
-  one: readonly RegionId[],
-  other: readonly RegionId[],
+  a: readonly RegionId[],
+  b: readonly RegionId[],
 ): readonly RegionId[] | undefined {
-  if (one.length === 0 || other.length === 0) {
-    return one.length === 0 ? other : one;
+  if (a.length === 0 || b.length === 0) {
+    return a.length === 0 ? b : a;
   }
-  const common = one.filter((region) => other.includes(region));
+  const common = a.filter((region) => b.includes(region));
   return common.length === 0 ? undefined : common;
 }
 
-/** Ranks of routes within one rank of accounts. */
-const ROUTE_RANKS = 1_000;
+/** Number of route ranks within each account priority. */
+const RANKS_PER_PRIORITY = 1_000;
 
-/** Rank of a request among those that wait; lower ones go first. */
+/** Rank of a request in the wait queue; lower ranks go first. */
 export function rankOf(
   route: Pick<Route, "priority">,
   account: Pick<ClientAccount, "priority"> | undefined,
 ): number {
-  return (account?.priority ?? route.priority) * ROUTE_RANKS + route.priority;
+  return (account?.priority ?? route.priority) * RANKS_PER_PRIORITY +
+    route.priority;
 }
--- a/packages/daemon/src/gateway/accounts/credit_exchange.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange.ts
@@ -1,7 +1,8 @@
 /**
- * Asks the VMs that keep the credit of client accounts, and answers those that ask
- * this one, as JSON-RPC 2.0 in datagrams: a request waits for the answer, and a lost
- * one costs less than a connection that has fallen silent.
+ * Requests credit from the credit owners of client accounts, and responds to other VMs
+ * where this VM is a credit owner. Messages are JSON-RPC 2.0 in datagrams: a client's
+ * request waits for the response, and a lost datagram delays it less than a connection
+ * that has become unresponsive.
  *
  * @module
  */
@@ -17,158 +18,164 @@
 import { keepersOf } from "@poplarthread/placement";
 import * as z from "zod";
 import { Task } from "../../task.ts";
-import type { CreditAnswer, CreditLedger } from "./credit_ledger.ts";
+import type { CreditLedger, CreditResponse } from "./credit_ledger.ts";
 import type { ListenAddress } from "../settings.ts";
 import type { RankedMember } from "../vm_directory.ts";
 
-/** Asks for the credit of one request. */
+/** Requests the credit for one request. */
 const CREDIT_METHOD = "credit";
-/** Asks the keeper of another region for credit. */
+/** Requests a loan from the credit owner of another region. */
 const LEND_METHOD = "lend";
-/** Credit of an account is borrowed this often at most, in milliseconds: a few round trips between regions. */
-const BORROW_EVERY_MS = 250;
-/** Longest wait for a keeper's answer, in milliseconds: its event loop may be busy, the way takes one. */
-const ANSWER_MS = 80;
-/** Credit that was given back holds this long, in milliseconds: kept for ever, it would add to what a later window allows. */
-const SPARE_MS = 500;
-/** Questions for loans whose answers are waited for. */
-const MOST_BORROWING = 1_000;
-/** How often is looked whether answers are missing, in milliseconds. */
-const CHECK_MS = 20;
+/** Minimum interval between loan requests for one account: a few round trips between regions. */
+const BORROW_INTERVAL_MS = 250;
+/** Time-out for a credit owner's response. The network takes 1 ms of it; the rest allows for a busy event loop. */
+const RESPONSE_TIMEOUT_MS = 80;
+/** How long refunded credit can be used: without expiry it would add to what a later quota window allows. */
+const REFUND_TTL_MS = 500;
+/** Loan requests that may await a response. */
+const MAX_PENDING_LOANS = 1_000;
+/** Interval of the check for responses that are overdue. */
+const CHECK_INTERVAL_MS = 20;
 
-const paramsSchema = z.object({ account: z.string() });
-const lendSchema = z.object({
+const creditParamsSchema = z.object({ account: z.string() });
+const lendParamsSchema = z.object({
   account: z.string(),
   amount: z.number().min(0),
 });
-const loanSchema = z.object({ lent: z.number().min(0) });
-const answerSchema = z.discriminatedUnion("kind", [
+const lendResultSchema = z.object({ lent: z.number().min(0) });
+const creditResultSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("granted") }),
   z.object({ kind: z.literal("used-up"), readyInMs: z.number() }),
   z.object({ kind: z.literal("not-kept") }),
 ]);
 
-/** What a request learns of its account's credit. */
+/** Outcome of a credit request. */
 export type Credit =
   | { readonly kind: "granted" }
   | { readonly kind: "used-up"; readonly readyInMs: number }
-  /** No keeper answered. */
+  /** No credit owner responded with a decision. */
   | { readonly kind: "unknown" };
 
-/** What the task is told. */
+/** Messages to the task. */
 export interface CreditExchangeMessage {
-  /** Looks whether answers are missing. */
+  /** Check for overdue responses. */
   readonly kind: "check";
 }
 
-/** What the task works with. */
+/** Dependencies of {@link CreditExchange}. */
 export interface CreditExchangeOptions {
   readonly listen: ListenAddress;
   readonly self: RankedMember;
   readonly ledger: CreditLedger;
-  /** VMs of the region that are up, this one among them. */
+  /** VMs of the region that are up, including this one. */
   upInRegion(): readonly RankedMember[];
-  /** VMs that are up of each other region. */
+  /** For each other region, its VMs that are up. */
   otherRegions(): readonly (readonly RankedMember[])[];
 }
 
-/** A request that waits for credit. */
-interface Asking {
+/** A client's request that waits for credit. */
+interface PendingRequest {
   readonly account: AccountId;
-  /** Keepers that were not asked yet. */
-  readonly left: RankedMember[];
+  /** Credit owners that have not been asked yet. */
+  readonly untried: RankedMember[];
   readonly done: (credit: Credit) => void;
-  /** The soonest credit that a keeper has promised; undefined where none has. */
+  /** Shortest time until credit that an owner has announced; undefined if none has. */
   readyInMs: number | undefined;
-  askedAt: number;
+  sentAt: number;
 }
 
-/** See the module's comment. */
+/** The task that requests and grants credit; see the module comment. */
 export class CreditExchange extends Task<CreditExchangeMessage> {
   readonly #options: CreditExchangeOptions;
-  readonly #asking = new Map<number, Asking>();
-  /** Accounts for which credit was asked of other regions, by the question. */
-  readonly #borrowing = new Map<number, AccountId>();
-  /** When credit of an account may be borrowed again. */
-  readonly #borrowAt = new Map<AccountId, number>();
-  /** Credit that was given back, as the moments until which it holds. */
-  readonly #spares = new Map<AccountId, number[]>();
+  readonly #pending = new Map<number, PendingRequest>();
+  /** Accounts of the loan requests sent to other regions, by request id. */
+  readonly #pendingLoans = new Map<number, AccountId>();
+  /** Earliest time of the next loan request, by account. */
+  readonly #nextBorrowAt = new Map<AccountId, number>();
+  /** Expiry times of refunded credit, by account. */
+  readonly #refunds = new Map<AccountId, number[]>();
   #socket: Socket | undefined;
   #lastId = 0;
-  /** The next look for missing answers is due. */
-  #isChecking = false;
+  /** Whether the next check for overdue responses is scheduled. */
+  #isCheckScheduled = false;
 
   constructor(options: CreditExchangeOptions) {
     super("credit");
     this.#options = options;
   }
 
-  /** Asks for the credit of one request; `done` is called once, perhaps before this returns. */
+  /** Requests the credit for one request; calls `done` once, possibly synchronously. */
   request(account: AccountId, done: (credit: Credit) => void): void {
-    if (this.#takeSpare(account)) {
+    if (this.#takeRefund(account)) {
       done({ kind: "granted" });
       return;
     }
-    const left = [...keepersOf(account, this.#options.upInRegion())];
-    this.#askNext({ account, left, done, readyInMs: undefined, askedAt: 0 });
+    const untried = [...keepersOf(account, this.#options.upInRegion())];
+    this.#tryNextOwner({
+      account,
+      untried,
+      done,
+      readyInMs: undefined,
+      sentAt: 0,
+    });
   }
 
-  /** A request that was granted credit did not run: the next one of its account has it. */
-  giveBack(account: AccountId): void {
-    const spares = this.#spares.get(account) ?? [];
-    spares.push(performance.now() + SPARE_MS);
-    this.#spares.set(account, spares);
+  /** Refunds the credit of a request that did not run: the next request of the account uses it. */
+  refund(account: AccountId): void {
+    const expiries = this.#refunds.get(account) ?? [];
+    expiries.push(performance.now() + REFUND_TTL_MS);
+    this.#refunds.set(account, expiries);
   }
 
-  /** Asks the first keepers of other regions for credit of an account. */
+  /** Requests a loan for an account from the first credit owner of each other region. */
   borrow(account: AccountId, amount: number): void {
     const now = performance.now();
-    if (now < (this.#borrowAt.get(account) ?? 0)) {
+    if (now < (this.#nextBorrowAt.get(account) ?? 0)) {
       return;
     }
-    this.#borrowAt.set(account, now + BORROW_EVERY_MS);
+    this.#nextBorrowAt.set(account, now + BORROW_INTERVAL_MS);
     for (const vms of this.#options.otherRegions()) {
-      const [keeper] = keepersOf(account, vms);
-      if (keeper !== undefined) {
-        this.#borrowing.set(
-          this.#ask(keeper, LEND_METHOD, { account, amount }),
+      const [owner] = keepersOf(account, vms);
+      if (owner !== undefined) {
+        this.#pendingLoans.set(
+          this.#sendRequest(owner, LEND_METHOD, { account, amount }),
           account,
         );
       }
     }
-    this.#forgetOldLoans();
+    this.#dropOldestLoans();
   }
 
-  /** A loan that is answered later than the newest questions allow for is lost. */
-  #forgetOldLoans(): void {
-    for (const id of this.#borrowing.keys()) {
-      if (this.#borrowing.size <= MOST_BORROWING) {
+  /** Keeps the newest loan requests; the response to a dropped one is ignored, and its loan is lost. */
+  #dropOldestLoans(): void {
+    for (const id of this.#pendingLoans.keys()) {
+      if (this.#pendingLoans.size <= MAX_PENDING_LOANS) {
         return;
       }
-      this.#borrowing.delete(id);
+      this.#pendingLoans.delete(id);
     }
   }
 
-  #takeSpare(account: AccountId): boolean {
-    const spares = this.#spares.get(account);
-    if (spares === undefined) {
+  #takeRefund(account: AccountId): boolean {
+    const expiries = this.#refunds.get(account);
+    if (expiries === undefined) {
       return false;
     }
-    this.#spares.delete(account);
+    this.#refunds.delete(account);
     const now = performance.now();
-    const left = spares.filter((until) => now < until);
-    const [spare, ...others] = left;
-    if (others.length > 0) {
-      this.#spares.set(account, others);
+    const valid = expiries.filter((expiresAt) => now < expiresAt);
+    const [used, ...rest] = valid;
+    if (rest.length > 0) {
+      this.#refunds.set(account, rest);
     }
-    return spare !== undefined;
+    return used !== undefined;
   }
 
   protected override open(): Promise<void> {
     const socket = createSocket("udp4");
     this.#socket = socket;
-    this.#isChecking = false;
-    socket.on("message", (bytes, from) => this.#take(bytes, from));
+    this.#isCheckScheduled = false;
+    socket.on("message", (bytes, from) => this.#onDatagram(bytes, from));
     const { host, port } = this.#options.listen;
     return new Promise((resolve, reject) => {
       socket.once("error", reject);
@@ -186,98 +193,104 @@
   }
 
   protected override receive(_message: CreditExchangeMessage): void {
-    this.#isChecking = false;
-    this.#askFurther();
-    if (this.#asking.size > 0) {
-      this.#check();
+    this.#isCheckScheduled = false;
+    this.#retryTimedOut();
+    if (this.#pending.size > 0) {
+      this.#scheduleCheck();
     }
   }
 
-  /** Answers that are missing are looked for only while some are waited for. */
-  #check(): void {
-    if (!this.#isChecking) {
-      this.#isChecking = true;
-      this.after(CHECK_MS, { kind: "check" });
+  /** Schedules the next check; checks run only while responses are pending. */
+  #scheduleCheck(): void {
+    if (!this.#isCheckScheduled) {
+      this.#isCheckScheduled = true;
+      this.after(CHECK_INTERVAL_MS, { kind: "check" });
     }
   }
 
-  /** Asks the next keeper for those whose answer is missing. */
-  #askFurther(): void {
-    const due = performance.now() - ANSWER_MS;
-    for (const [id, asking] of this.#asking) {
-      if (asking.askedAt > due) {
-        // Asked in order: all that follow were asked later.
+  /** Tries the next credit owner for requests whose response is overdue. */
+  #retryTimedOut(): void {
+    const overdueSince = performance.now() - RESPONSE_TIMEOUT_MS;
+    for (const [id, request] of this.#pending) {
+      if (request.sentAt > overdueSince) {
+        // Entries are in the order they were sent: the following ones are newer.
         return;
       }
-      this.#asking.delete(id);
-      this.#askNext(asking);
+      this.#pending.delete(id);
+      this.#tryNextOwner(request);
     }
   }
 
-  #askNext(asking: Asking): void {
-    const keeper = asking.left.shift();
-    if (keeper === undefined) {
-      asking.done(
-        asking.readyInMs === undefined
+  #tryNextOwner(request: PendingRequest): void {
+    const owner = request.untried.shift();
+    if (owner === undefined) {
+      request.done(
+        request.readyInMs === undefined
           ? { kind: "unknown" }
-          : { kind: "used-up", readyInMs: asking.readyInMs },
+          : { kind: "used-up", readyInMs: request.readyInMs },
       );
       return;
     }
     const now = performance.now();
-    if (keeper.vm === this.#options.self.vm) {
-      this.#answered(asking, this.#options.ledger.take(asking.account, now));
+    if (owner.vm === this.#options.self.vm) {
+      this.#onCreditResponse(
+        request,
+        this.#options.ledger.take(request.account, now),
+      );
       return;
     }
-    asking.askedAt = now;
-    const { account } = asking;
-    this.#asking.set(this.#ask(keeper, CREDIT_METHOD, { account }), asking);
-    this.#check();
+    request.sentAt = now;
+    const { account } = request;
+    this.#pending.set(
+      this.#sendRequest(owner, CREDIT_METHOD, { account }),
+      request,
+    );
+    this.#scheduleCheck();
   }
 
-  /** Sends a question and returns its id. */
-  #ask(keeper: RankedMember, method: string, params: object): number {
+  /** Sends a JSON-RPC request and returns its id. */
+  #sendRequest(owner: RankedMember, method: string, params: object): number {
     this.#lastId += 1;
-    const [host] = keeper.peerAddress.split(":");
-    const question = createJSONRPCRequest(this.#lastId, method, params);
-    this.#send(question, { port: this.#options.listen.port, host: host! });
+    const [host] = owner.peerAddress.split(":");
+    const request = createJSONRPCRequest(this.#lastId, method, params);
+    this.#send(request, { port: this.#options.listen.port, host: host! });
     return this.#lastId;
   }
 
-  #answered(asking: Asking, answer: CreditAnswer): void {
-    switch (answer.kind) {
+  #onCreditResponse(request: PendingRequest, response: CreditResponse): void {
+    switch (response.kind) {
       case "granted":
-        asking.done({ kind: "granted" });
+        request.done({ kind: "granted" });
         return;
       case "used-up":
-        asking.readyInMs = Math.min(
-          answer.readyInMs,
-          asking.readyInMs ?? Infinity,
+        request.readyInMs = Math.min(
+          response.readyInMs,
+          request.readyInMs ?? Infinity,
         );
-        this.#askNext(asking);
+        this.#tryNextOwner(request);
         return;
       case "not-kept":
-        this.#askNext(asking);
+        this.#tryNextOwner(request);
         return;
     }
   }
 
-  #take(bytes: Buffer, from: RemoteInfo): void {
+  #onDatagram(bytes: Buffer, from: RemoteInfo): void {
     let message: unknown;
     try {
       message = JSON.parse(bytes.toString("utf8"));
     } catch {
-      // Not of a VM of the system: nothing that it says counts.
+      // Not from a VM of this deployment; ignored.
       return;
     }
     if (isJSONRPCRequest(message)) {
-      this.#answer(message, from);
+      this.#onRequest(message, from);
     } else if (isJSONRPCResponse(message)) {
-      this.#heard(message);
+      this.#onResponse(message);
     }
   }
 
-  #answer(
+  #onRequest(
     { id, method, params }: {
       id?: string | number | null;
       method: string;
@@ -287,28 +300,28 @@
   ): void {
     const result = this.#resultOf(method, params);
     if (result !== undefined) {
-      const answer = createJSONRPCSuccessResponse(id ?? null, result);
-      this.#send(answer, { port, host: address });
+      const response = createJSONRPCSuccessResponse(id ?? null, result);
+      this.#send(response, { port, host: address });
     }
   }
 
-  /** Undefined where it is no question of a VM. */
+  /** The result of a request; undefined for an unknown method or malformed parameters. */
   #resultOf(method: string, params: unknown): object | undefined {
     const { ledger } = this.#options;
     const now = performance.now();
     switch (method) {
       case CREDIT_METHOD: {
-        const asked = paramsSchema.safeParse(params);
-        return asked.success
-          ? ledger.take(asked.data.account as AccountId, now)
+        const parsed = creditParamsSchema.safeParse(params);
+        return parsed.success
+          ? ledger.take(parsed.data.account as AccountId, now)
           : undefined;
       }
       case LEND_METHOD: {
-        const asked = lendSchema.safeParse(params);
-        if (!asked.success) {
+        const parsed = lendParamsSchema.safeParse(params);
+        if (!parsed.success) {
           return undefined;
         }
-        const { account, amount } = asked.data;
+        const { account, amount } = parsed.data;
         const loan = { asked: amount, now };
         return { lent: ledger.lend(account as AccountId, loan) };
       }
@@ -317,27 +330,33 @@
     }
   }
 
-  #heard({ id, result }: { id: string | number | null; result?: unknown }) {
-    const borrower = this.#borrowing.get(Number(id));
-    const loan = loanSchema.safeParse(result);
-    if (borrower !== undefined && loan.success) {
-      this.#borrowing.delete(Number(id));
+  #onResponse(
+    { id, result }: { id: string | number | null; result?: unknown },
+  ) {
+    const account = this.#pendingLoans.get(Number(id));
+    const loan = lendResultSchema.safeParse(result);
+    if (account !== undefined && loan.success) {
+      this.#pendingLoans.delete(Number(id));
       const { lent } = loan.data;
-      this.#options.ledger.borrowed(borrower, { lent, now: performance.now() });
+      this.#options.ledger.receiveLoan(account, {
+        lent,
+        now: performance.now(),
+      });
       return;
     }
-    const asking = this.#asking.get(Number(id));
-    const answer = answerSchema.safeParse(result);
-    if (asking === undefined || !answer.success) {
-      // It came after the next keeper was asked; its credit runs out unused.
+    const request = this.#pending.get(Number(id));
+    const response = creditResultSchema.safeParse(result);
+    if (request === undefined || !response.success) {
+      // The response is malformed or came after the next owner was asked; in that case
+      // the credit it grants is not used.
       return;
     }
-    this.#asking.delete(Number(id));
-    this.#answered(asking, answer.data);
+    this.#pending.delete(Number(id));
+    this.#onCreditResponse(request, response.data);
   }
 
   #send(message: object, { port, host }: ListenAddress): void {
-    // A datagram that cannot be sent is as good as a lost one.
+    // A send error is ignored: the datagram counts as lost.
     this.#socket?.send(JSON.stringify(message), port, host, () => undefined);
   }
 }
--- a/packages/daemon/src/gateway/accounts/credit_exchange_test.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange_test.ts
@@ -1,5 +1,5 @@
 /**
- * Credit of accounts between VMs.
+ * Credit requests and loans between VMs.
  *
  * @module
  */
@@ -18,14 +18,14 @@
 const ANNA = "anna" as AccountId;
 const QUOTA = { perSecond: 20, burst: 20 };
 
-/** VMs, each on an address of its own and all on one port. */
+/** The VMs of a region; each has its own address, all share one port. */
 class Region {
   readonly vms: RankedMember[] = [];
   readonly tasks = new Map<string, CreditExchange>();
-  /** VMs that are not heard any more. */
+  /** Names of VMs that no longer count as up. */
   readonly down = new Set<string>();
   quota: typeof QUOTA | undefined = QUOTA;
-  /** Regions beside this one, all on one port. */
+  /** The other regions, all on the same port. */
   others: readonly Region[] = [];
   readonly port: number;
   readonly #name: string;
@@ -41,43 +41,43 @@
   }
 
   async start(count: number): Promise<void> {
-    for (let at = 0; at < count; at++) {
-      const vm = `vm-${this.#name}-${at}`;
-      const peerAddress = `${ownAddress(this.#firstAddress + at)}:1`;
+    for (let index = 0; index < count; index++) {
+      const vm = `vm-${this.#name}-${index}`;
+      const peerAddress = `${ownAddress(this.#firstAddress + index)}:1`;
       this.vms.push({
         ...memberNamed(vm, { peerAddress }),
         hash: hashText(vm),
       });
     }
-    await Promise.all(this.vms.map((self) => this.#startOne(self)));
+    await Promise.all(this.vms.map((self) => this.#startVm(self)));
   }
 
   async stop(): Promise<void> {
     await Promise.all([...this.tasks.values()].map((task) => task.stop()));
   }
 
-  /** The VMs that keep an account's credit, first the one that is asked first. */
-  keepers(account: AccountId): readonly RankedMember[] {
+  /** The credit owners of an account, in the order in which they are asked. */
+  owners(account: AccountId): readonly RankedMember[] {
     return keepersOf(account, this.#up());
   }
 
-  ask(vm: RankedMember, account = ANNA): Promise<Credit> {
+  request(vm: RankedMember, account = ANNA): Promise<Credit> {
     return new Promise((resolve) =>
       this.tasks.get(vm.vm)!.request(account, resolve)
     );
   }
 
-  /** A VM that keeps no credit of the account. */
-  other(account: AccountId): RankedMember {
-    const keepers = this.keepers(account);
-    return this.#up().find((vm) => !keepers.includes(vm))!;
+  /** A VM that is not a credit owner of the account. */
+  nonOwner(account: AccountId): RankedMember {
+    const owners = this.owners(account);
+    return this.#up().find((vm) => !owners.includes(vm))!;
   }
 
   #up(): readonly RankedMember[] {
     return this.vms.filter(({ vm }) => !this.down.has(vm));
   }
 
-  async #startOne(self: RankedMember): Promise<void> {
+  async #startVm(self: RankedMember): Promise<void> {
     const upInRegion = () => this.#up();
     const task = new CreditExchange({
       listen: { host: self.peerAddress.split(":")[0]!, port: this.port },
@@ -89,7 +89,7 @@
         upInRegion,
         knownInRegion: () => this.vms.length,
         quotaOf: () => this.quota,
-        short: (account, wanted) =>
+        onShortage: (account, wanted) =>
           this.tasks.get(self.vm)!.borrow(account, wanted),
       }),
       upInRegion,
@@ -109,11 +109,14 @@
 
 afterEach(() => region.stop());
 
-/** Asks until credit is granted, for `ms` at most. */
-async function granted(vm: RankedMember, ms: number): Promise<boolean> {
-  const until = performance.now() + ms;
-  while (performance.now() < until) {
-    if ((await region.ask(vm)).kind === "granted") {
+/** Retries until credit is granted, for `timeoutMs` at most. */
+async function isGranted(
+  vm: RankedMember,
+  timeoutMs: number,
+): Promise<boolean> {
+  const deadline = performance.now() + timeoutMs;
+  while (performance.now() < deadline) {
+    if ((await region.request(vm)).kind === "granted") {
       return true;
     }
     await new Promise((resolve) => setTimeout(resolve, 10));
@@ -122,15 +125,15 @@
 }
 
 describe("a request", () => {
-  test("gets credit from the VM that keeps it", async () => {
-    expect(await granted(region.other(ANNA), 1_000)).toBe(true);
+  test("gets credit from a credit owner", async () => {
+    expect(await isGranted(region.nonOwner(ANNA), 1_000)).toBe(true);
   });
 
-  test("beyond the quota learns when there is credit again", async () => {
-    const vm = region.other(ANNA);
-    let credit = await region.ask(vm);
+  test("beyond the quota is refused with the time until the next credit", async () => {
+    const vm = region.nonOwner(ANNA);
+    let credit = await region.request(vm);
     while (credit.kind === "granted") {
-      credit = await region.ask(vm);
+      credit = await region.request(vm);
     }
     expect(credit).toMatchObject({ kind: "used-up" });
     const { readyInMs } = credit as Extract<Credit, { kind: "used-up" }>;
@@ -138,44 +141,44 @@
     expect(readyInMs).toBeLessThan(1_000);
   });
 
-  test("has the credit that another of its account gave back, for a while", async () => {
-    const vm = region.other(ANNA);
-    expect(await granted(vm, 1_000)).toBe(true);
-    // From now on the keepers grant nothing.
+  test("uses credit that another request of its account refunded, until the refund expires", async () => {
+    const vm = region.nonOwner(ANNA);
+    expect(await isGranted(vm, 1_000)).toBe(true);
+    // From now on no VM owns credit of the account, and none grants any.
     region.quota = undefined;
-    region.tasks.get(vm.vm)!.giveBack(ANNA);
-    expect((await region.ask(vm)).kind).toBe("granted");
-    expect((await region.ask(vm)).kind).toBe("unknown");
-    region.tasks.get(vm.vm)!.giveBack(ANNA);
+    region.tasks.get(vm.vm)!.refund(ANNA);
+    expect((await region.request(vm)).kind).toBe("granted");
+    expect((await region.request(vm)).kind).toBe("unknown");
+    region.tasks.get(vm.vm)!.refund(ANNA);
     await new Promise((resolve) => setTimeout(resolve, 600));
-    expect((await region.ask(vm)).kind).toBe("unknown");
+    expect((await region.request(vm)).kind).toBe("unknown");
   });
 
-  test("turns to the second keeper where the first does not answer", async () => {
-    const [first] = region.keepers(ANNA);
-    const vm = region.other(ANNA);
+  test("falls back to the second owner if the first does not respond", async () => {
+    const [first] = region.owners(ANNA);
+    const vm = region.nonOwner(ANNA);
     await region.tasks.get(first!.vm)!.stop();
-    expect(await granted(vm, 2_000)).toBe(true);
+    expect(await isGranted(vm, 2_000)).toBe(true);
   });
 
-  test("is not granted what nobody can vouch for", async () => {
-    // A VM that is cut off from both keepers cannot know what others spend.
-    const vm = region.other(ANNA);
-    for (const keeper of region.keepers(ANNA)) {
-      await region.tasks.get(keeper.vm)!.stop();
+  test("is granted no credit while no owner can be reached", async () => {
+    // A VM that is cut off from both owners cannot know what other VMs grant.
+    const vm = region.nonOwner(ANNA);
+    for (const owner of region.owners(ANNA)) {
+      await region.tasks.get(owner.vm)!.stop();
     }
-    expect(await region.ask(vm)).toEqual({ kind: "unknown" });
+    expect(await region.request(vm)).toEqual({ kind: "unknown" });
   });
 });
 
-test("all VMs together grant no more than the quota, however many ask", async () => {
+test("all VMs together grant no more than the quota under concurrent requests", async () => {
   let count = 0;
-  const until = performance.now() + 1_500;
+  const deadline = performance.now() + 1_500;
   await Promise.all(
     region.vms.flatMap((vm) =>
       Array.from({ length: 5 }, async () => {
-        while (performance.now() < until) {
-          const credit = await region.ask(vm);
+        while (performance.now() < deadline) {
+          const credit = await region.request(vm);
           count += credit.kind === "granted" ? 1 : 0;
           await new Promise((resolve) => setTimeout(resolve, 5));
         }
@@ -187,12 +190,12 @@
   expect(count).toBeLessThanOrEqual(allowed);
 });
 
-test("credit that one region does not need serves the callers of another", async () => {
-  // All callers of an account stand in one region: with its own part alone, a third of
-  // the quota, two thirds of what they may send would be refused.
+test("a region lends unused credit to a region whose callers need it", async () => {
+  // All callers of an account are in one region. Without loans that region has only its
+  // own share, a third of the quota, and would refuse two thirds of the allowed requests.
   const port = nextPort();
-  const regions = ["a", "b", "c"].map((name, at) =>
-    new Region(port, { name, firstAddress: 110 + 10 * at })
+  const regions = ["a", "b", "c"].map((name, index) =>
+    new Region(port, { name, firstAddress: 110 + 10 * index })
   );
   regions.forEach((one) =>
     one.others = regions.filter((other) => other !== one)
@@ -200,15 +203,15 @@
   await Promise.all(regions.map((one) => one.start(2)));
   try {
     const [busy] = regions;
-    const until = performance.now() + 2_500;
+    const deadline = performance.now() + 2_500;
     let count = 0;
-    while (performance.now() < until) {
-      const credit = await busy!.ask(busy!.vms[0]!);
+    while (performance.now() < deadline) {
+      const credit = await busy!.request(busy!.vms[0]!);
       count += credit.kind === "granted" ? 1 : 0;
       await new Promise((resolve) => setTimeout(resolve, 4));
     }
-    const part = (QUOTA.perSecond * 2.5 + QUOTA.burst) / 3;
-    expect(count).toBeGreaterThan(part * 1.4);
+    const share = (QUOTA.perSecond * 2.5 + QUOTA.burst) / 3;
+    expect(count).toBeGreaterThan(share * 1.4);
     const allowed = (QUOTA.perSecond * 5 + QUOTA.burst) * 1.1 + 20;
     expect(count).toBeLessThanOrEqual(allowed);
   } finally {
@@ -216,24 +219,24 @@
   }
 });
 
-test("a keeper that hears half of its region grants half as much", async () => {
-  // Behind a cut each side finds keepers of its own. Each granting all, the account
-  // would get its quota twice.
-  const [first] = region.keepers(ANNA);
+test("a credit owner that sees half of its region as up grants half as much", async () => {
+  // In a network partition each side has its own credit owners. If each granted the full
+  // share, the account would get its quota twice.
+  const [first] = region.owners(ANNA);
   const others = region.vms.filter((vm) => vm !== first);
   others.slice(0, 2).forEach(({ vm }) => region.down.add(vm));
-  const whole = 20 * 1.1;
+  const fullRate = 20 * 1.1;
   let count = 0;
-  const until = performance.now() + 1_500;
-  while (performance.now() < until) {
-    const credit = await region.ask(first!);
+  const deadline = performance.now() + 1_500;
+  while (performance.now() < deadline) {
+    const credit = await region.request(first!);
     count += credit.kind === "granted" ? 1 : 0;
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
-  expect(count).toBeLessThan(whole * 1.5 * 0.75);
+  expect(count).toBeLessThan(fullRate * 1.5 * 0.75);
 });
 
-test("what is no message of a VM is passed over", async () => {
+test("malformed datagrams are ignored", async () => {
   const vm = region.vms[0]!;
   const socket = createSocket("udp4");
   const [host] = vm.peerAddress.split(":");
@@ -243,5 +246,5 @@
     );
   }
   socket.close();
-  expect(await granted(region.other(ANNA), 1_000)).toBe(true);
+  expect(await isGranted(region.nonOwner(ANNA), 1_000)).toBe(true);
 });
--- a/packages/daemon/src/gateway/accounts/credit_ledger.ts
+++ b/packages/daemon/src/gateway/accounts/credit_ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Credit of client accounts that this VM keeps for its region.
+ * Credit of the client accounts for which this VM is a credit owner in its region.
  *
  * @module
  */
@@ -17,78 +17,78 @@
 } from "@poplarthread/placement";
 import type { RankedMember } from "../vm_directory.ts";
 
-/** What a keeper says to one request. */
-export type CreditAnswer =
+/** A credit owner's response for one request. */
+export type CreditResponse =
   | { readonly kind: "granted" }
-  /** The account has used its credit up; there will be some again in so many milliseconds. */
+  /** The account has used up its credit; more is available in `readyInMs`. */
   | { readonly kind: "used-up"; readonly readyInMs: number }
-  /** This VM keeps none for the account, as far as it knows. */
+  /** As far as this VM knows, it is not a credit owner of the account. */
   | { readonly kind: "not-kept" };
 
-/** What the ledger works with. */
+/** Dependencies of {@link CreditLedger}. */
 export interface CreditLedgerOptions {
   readonly self: RankedMember;
   readonly bound: QuotaBound;
-  /** Regions among which each quota is divided. */
+  /** Number of regions among which each quota is divided. */
   readonly regions: number;
-  /** VMs of the region that are up, this one among them. */
+  /** VMs of the region that are up, including this one. */
   upInRegion(): readonly RankedMember[];
-  /** VMs of the region that were up lately, this one among them. */
+  /** Number of VMs of the region that were up recently, including this one. */
   knownInRegion(): number;
-  /** The quota in force; undefined where the account has none or is not known. */
+  /** The quota in force; undefined if the account is unknown or has none. */
   quotaOf(account: AccountId): Quota | undefined;
-  /** Little credit of an account is left: as much as `wanted` had better be borrowed. */
-  short(account: AccountId, wanted: number): void;
+  /** Called when an account's credit runs low; `wanted` is the amount to borrow. */
+  onShortage(account: AccountId, wanted: number): void;
 }
 
-/** See the module's comment. Times are milliseconds of the monotonic clock. */
+/** Grants and lends credit; see the module comment. Times are milliseconds of the monotonic clock. */
 export class CreditLedger {
   readonly #options: CreditLedgerOptions;
   readonly #startedAt: number;
   readonly #buckets = new Map<AccountId, CreditBucket>();
 
-  /** `startedAt` is when this VM began: what it spent in an earlier life is not known. */
+  /** `startedAt` is the start of this instance. Credit is earned only from then on, since what an earlier instance granted is not known. */
   constructor(options: CreditLedgerOptions, startedAt = performance.now()) {
     this.#options = options;
     this.#startedAt = startedAt;
   }
 
-  /** Takes the credit of one request. */
-  take(account: AccountId, now: number): CreditAnswer {
-    const kept = this.#kept(account);
-    if (kept === undefined) {
+  /** Takes the credit for one request. */
+  take(account: AccountId, now: number): CreditResponse {
+    const owned = this.#ownedBucket(account);
+    if (owned === undefined) {
       return { kind: "not-kept" };
     }
-    const { bucket, limit } = kept;
+    const { bucket, limit } = owned;
     const isGranted = bucket.take(limit, now);
     if (bucket.isShort(limit, now)) {
-      this.#options.short(account, Math.ceil(limit.most));
+      this.#options.onShortage(account, Math.ceil(limit.most));
     }
     return isGranted
       ? { kind: "granted" }
       : { kind: "used-up", readyInMs: bucket.promise(limit, now) };
   }
 
-  /** Gives credit to the keeper of another region; returns how much. */
+  /** Lends credit to the credit owner of another region; returns the amount lent. */
   lend(
     account: AccountId,
     loan: { readonly asked: number; readonly now: number },
   ): number {
-    const kept = this.#kept(account);
-    return kept?.bucket.lend(kept.limit, loan) ?? 0;
+    const owned = this.#ownedBucket(account);
+    return owned?.bucket.lend(owned.limit, loan) ?? 0;
   }
 
-  /** The keeper of another region gave credit. */
-  borrowed(
+  /** Adds credit lent by the credit owner of another region. */
+  receiveLoan(
     account: AccountId,
     loan: { readonly lent: number; readonly now: number },
   ): void {
-    const kept = this.#kept(account);
-    kept?.bucket.borrowed(kept.limit, loan);
+    const owned = this.#ownedBucket(account);
+    owned?.bucket.borrowed(owned.limit, loan);
   }
 
-  /** Accounts that are gone are forgotten. */
-  keepOnly(accounts: ReadonlySet<AccountId>): void {
+  /** Drops the credit of accounts that no longer exist. */
+  retainOnly(accounts: ReadonlySet<AccountId>): void {
     for (const account of this.#buckets.keys()) {
       if (!accounts.has(account)) {
         this.#buckets.delete(account);
@@ -96,12 +96,12 @@
     }
   }
 
-  #kept(
+  #ownedBucket(
     account: AccountId,
   ):
     | { readonly bucket: CreditBucket; readonly limit: CreditLimit }
     | undefined {
-    const limit = this.#limitOf(account);
+    const limit = this.#localLimit(account);
     if (limit === undefined || limit.perSecond <= 0) {
       return undefined;
     }
@@ -113,21 +113,22 @@
     return { bucket, limit };
   }
 
-  /** This VM's part of an account's credit. */
-  #limitOf(account: AccountId): CreditLimit | undefined {
+  /** This VM's share of an account's credit; undefined if the account has no quota or this VM is not a credit owner. */
+  #localLimit(account: AccountId): CreditLimit | undefined {
     const { self, bound, regions } = this.#options;
     const quota = this.#options.quotaOf(account);
     const up = this.#options.upInRegion();
-    const keepers = keepersOf(account, up);
-    const rank = keepers.findIndex(({ vm }) => vm === self.vm);
+    const owners = keepersOf(account, up);
+    const rank = owners.findIndex(({ vm }) => vm === self.vm);
     if (quota === undefined || rank < 0) {
       return undefined;
     }
-    const own = keepers.length === 1 ? 1 : KEEPER_PARTS[rank]!;
-    // Those behind a cut may have keepers of their own.
-    const heard = up.length /
+    const ownerShare = owners.length === 1 ? 1 : KEEPER_PARTS[rank]!;
+    // In a network partition the VMs on the other side may have credit owners of their
+    // own, so this side uses only the share of the region's VMs that it sees as up.
+    const upShare = up.length /
       Math.max(up.length, this.#options.knownInRegion());
-    const part = own * heard / regions;
-    return partOf(creditLimit(quota, bound), part);
+    const share = ownerShare * upShare / regions;
+    return partOf(creditLimit(quota, bound), share);
   }
 }
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -1,6 +1,6 @@
 /**
- * The one module that constructs a gateway: the daemon on a platform whose
- * store lists the targets and holds the operators' configuration.
+ * Composition root of the gateway, the daemon for platforms whose store lists
+ * the targets and holds the operators' configuration.
  *
  * @module
  */
@@ -34,7 +34,7 @@
 import { VmChanges } from "./vm_changes.ts";
 import { VmDirectory } from "./vm_directory.ts";
 
-/** What a gateway runs on. */
+/** External dependencies of a gateway. */
 export interface GatewayPorts {
   readonly platform: PlatformPort;
   readonly dialect: Dialect;
@@ -43,38 +43,38 @@
 
 /** A running gateway. */
 export interface Gateway {
-  /** Settles with the reason when it cannot go on. */
+  /** Resolves with the cause when the gateway cannot continue. */
   readonly failed: Promise<unknown>;
-  /** The planned stop; settles when nothing is left. */
+  /** Graceful shutdown; resolves when all requests have ended or the stop time-out has expired. */
   stop(): Promise<void>;
-  /** Ends at once and cuts what is in flight. For tests. */
+  /** Stops immediately and aborts requests in flight. Also the last step of {@link stop}; otherwise for tests. */
   kill(): Promise<void>;
 }
 
 /**
- * Callers keep an answer to a look-up for this long, some of them three times as
- * long, in milliseconds. So all of them know of a VM's leaving after 3 s, well
- * before it must end.
+ * Cache lifetime of a look-up response. Some callers keep a response for three times
+ * as long, so all of them stop using a leaving VM within 3 s, well before it must
+ * exit.
  */
 const LOOKUP_TTL_MS = 1_000;
-/** A VM that leaves takes connections until the callers' answers have run out. */
-const LEAVE_MS = 3 * LOOKUP_TTL_MS + 200;
-/** Kept of the time to SIGKILL for the end of the process itself, in milliseconds. */
+/** A leaving VM accepts connections until the look-up responses that callers cached have expired. */
+const LEAVE_DELAY_MS = 3 * LOOKUP_TTL_MS + 200;
+/** Part of the time until SIGKILL that is reserved for the exit of the process itself. */
 const STOP_MARGIN_MS = 500;
-/** How often a leaving VM looks whether its requests are over, in milliseconds. */
-const STOP_CHECK_MS = 20;
+/** Interval at which a leaving VM checks whether its requests have ended. */
+const STOP_CHECK_INTERVAL_MS = 20;
 
-/** Starts a gateway; settles when its listeners are up. */
+/** Starts a gateway; resolves when its listeners are up. */
 export async function startGateway(
   settings: GatewaySettings,
   ports: GatewayPorts,
 ): Promise<Gateway> {
-  const wiring = new Wiring(settings, ports);
-  await wiring.start();
-  return wiring;
+  const gateway = new RunningGateway(settings, ports);
+  await gateway.start();
+  return gateway;
 }
 
-class Wiring implements Gateway {
+class RunningGateway implements Gateway {
   readonly failed: Promise<unknown>;
   readonly #settings: GatewaySettings;
   readonly #feed: PlatformFeed;
@@ -84,21 +84,21 @@
   readonly #metrics: GatewayMetrics;
   readonly #self: Member;
   readonly #connections: Connections;
-  readonly #path: RequestPath;
+  readonly #requestPath: RequestPath;
   readonly #loopDelay = new LoopDelay(performance.now() + BUSY_TICK_MS);
   readonly #vms: VmDirectory;
   readonly #vmChanges = new VmChanges();
   readonly #prober: HealthProber;
-  readonly #callers: CallerListener;
+  readonly #callerListener: CallerListener;
   readonly #beacon: PeerBeacon;
   readonly #accounts: Accounts;
-  readonly #root: Supervisor;
+  readonly #supervisor: Supervisor;
   readonly #timer = new PacedTimer((now) => this.#tick(now));
   #idleTickDueAt = 0;
   #hasTargets = false;
   #hasMembers = false;
   #leaving = false;
-  /** The planned stop; whoever asks for it again waits for the same one. */
+  /** The graceful shutdown in progress; repeated calls of `stop` share it. */
   #stopped: Promise<void> | undefined;
   #fail: (err: unknown) => void = () => undefined;
 
@@ -109,11 +109,11 @@
     this.#log = new EventLog(ports.log);
     this.#requestLog = new RequestLog(this.#log);
     this.#metrics = new GatewayMetrics(() => ({
-      openRequests: this.#callers.openRequests,
-      waitingRequests: this.#path.waitingRequests,
-      configurationVersion: this.#callers.version,
-      targets: this.#path.targets.size,
-      limitedTargets: this.#path.steering.limitedTargets,
+      openRequests: this.#callerListener.openRequests,
+      waitingRequests: this.#requestPath.waitingRequests,
+      configurationVersion: this.#callerListener.version,
+      targets: this.#requestPath.targets.size,
+      limitedTargets: this.#requestPath.steering.limitedTargets,
       vmsUp: this.#vms.up(performance.now()).length,
       droppedLines: this.#log.dropped,
     }));
@@ -130,10 +130,10 @@
     this.#connections = new Connections({
       localAddress: listen.callers.host,
       listener: {
-        connected: (target, ms) => this.#path.connected(target, ms),
+        connected: (target, ms) => this.#requestPath.connected(target, ms),
       },
     });
-    this.#path = this.#createPath(settings);
+    this.#requestPath = this.#createRequestPath(settings);
     this.#vms = new VmDirectory({
       self: this.#self,
       onChange: (member, change) => this.#vmChanges.add(member, change),
@@ -142,11 +142,11 @@
       connections: this.#connections,
       dialect: this.#dialect,
     });
-    this.#callers = this.#createCallers();
+    this.#callerListener = this.#createCallerListener();
     this.#accounts = new Accounts({
       settings,
       vms: this.#vms,
-      index: () => this.#callers.accounts,
+      index: () => this.#callerListener.accounts,
       readAgeMs: () => this.#feed.readAgeOf("operator"),
     });
     this.#beacon = new PeerBeacon({
@@ -156,34 +156,34 @@
       far: () => this.#vms.far(performance.now()),
       reports: () => this.#vms.reports(performance.now()),
       spokenTo: () => this.#vms.spokenTo(performance.now()),
-      warmPairs: () => this.#path.steering.warmPairs(performance.now()),
-      heardWarm: (pairs) => this.#heardWarm(pairs),
+      warmPairs: () => this.#requestPath.steering.warmPairs(performance.now()),
+      heardWarm: (pairs) => this.#onWarmPairs(pairs),
       heardLimits: (words) =>
-        words.forEach((word) => this.#path.heardLimit(word)),
+        words.forEach((word) => this.#requestPath.heardLimit(word)),
       sightings: () => this.#vms.sightings(performance.now()),
       ownWord: () => ({
         member: this.#self,
         isLeaving: this.#leaving,
         seen: this.#feed.seen,
       }),
-      heard: (heartbeat) => this.#heard(heartbeat),
-      reported: (report) => this.#reported(report),
+      heard: (heartbeat) => this.#onHeartbeat(heartbeat),
+      reported: (report) => this.#onZoneReport(report),
     });
     this.#feed = new PlatformFeed({
       platform: ports.platform,
       log: this.#log,
       relays: (except) => this.#vms.relays(performance.now(), except),
       fallbacks: () => this.#vms.fallbacks(performance.now()),
-      listener: (event) => this.#onPlatform(event),
+      listener: (event) => this.#onFeedEvent(event),
     });
-    this.#root = this.#supervise();
+    this.#supervisor = this.#createSupervisor();
   }
 
   async start(): Promise<void> {
-    await this.#root.start({
+    await this.#supervisor.start({
       failed: (_task, err) => this.#fail(err),
     });
-    this.#path.steering.setVms(this.#vms.up(performance.now()));
+    this.#requestPath.steering.setVms(this.#vms.up(performance.now()));
     this.#feed.start(this.#self);
     this.#timer.dueIn(BUSY_TICK_MS);
     this.#log.write("started", {});
@@ -196,31 +196,32 @@
 
   async #stop(): Promise<void> {
     const startedAt = performance.now();
-    const mostMs = this.#settings.bounds.stopMs - STOP_MARGIN_MS;
+    const stopTimeoutMs = this.#settings.bounds.stopMs - STOP_MARGIN_MS;
     this.#log.write("leaving", {});
     this.#leaving = true;
     this.#vms.leave();
-    this.#callers.send({ kind: "leave" });
+    this.#callerListener.send({ kind: "leave" });
     this.#beacon.send({ kind: "beat" });
-    await pause(Math.min(LEAVE_MS, mostMs));
-    this.#callers.send({ kind: "close-listener" });
+    await pause(Math.min(LEAVE_DELAY_MS, stopTimeoutMs));
+    this.#callerListener.send({ kind: "close-listener" });
     while (
-      this.#callers.openRequests > 0 && performance.now() - startedAt < mostMs
+      this.#callerListener.openRequests > 0 &&
+      performance.now() - startedAt < stopTimeoutMs
     ) {
-      await pause(STOP_CHECK_MS);
+      await pause(STOP_CHECK_INTERVAL_MS);
     }
-    this.#log.write("stopped", { open: this.#callers.openRequests });
+    this.#log.write("stopped", { open: this.#callerListener.openRequests });
     await this.kill();
   }
 
   async kill(): Promise<void> {
     this.#timer.close();
     this.#feed.close();
-    await this.#root.stop();
+    await this.#supervisor.stop();
     this.#connections.close();
   }
 
-  #createPath(settings: GatewaySettings): RequestPath {
+  #createRequestPath(settings: GatewaySettings): RequestPath {
     const { vm, zone, region, zones, bounds } = settings;
     return new RequestPath({
       steering: new Steering({
@@ -233,29 +234,29 @@
       dialect: this.#dialect,
       log: this.#log,
       connections: this.#connections,
-      targetChanged: (_target, what) =>
-        this.#metrics.beliefChanged(`target-${what}`),
+      targetChanged: (_target, change) =>
+        this.#metrics.beliefChanged(`target-${change}`),
       targetSilent: () => this.#metrics.beliefChanged("target-silent"),
       probe: (target) => this.#probe(target),
       hurry: () => this.#timer.dueIn(BUSY_TICK_MS),
       publishLimit: (word) => this.#beacon.send({ kind: "limit", word }),
       publishCrash: (crash) => this.#beacon.send({ kind: "crash", crash }),
-      ended: (exchange, end) => this.#ended(exchange, end),
+      ended: (exchange, end) => this.#onRequestEnd(exchange, end),
       attemptEnded: (end) => this.#metrics.attemptEnded(end),
     });
   }
 
-  #createCallers(): CallerListener {
+  #createCallerListener(): CallerListener {
     return new CallerListener({
       listen: this.#settings.listen.callers,
       dialect: this.#dialect,
       seed: this.#settings.vm,
-      path: this.#path,
+      path: this.#requestPath,
       isLate: () => this.#loopDelay.isLate(performance.now()),
       knowsRevocations: () => this.#accounts.knowsRevocations(),
       requestCredit: (account, done) =>
         this.#accounts.requestCredit(account, done),
-      giveBackCredit: (account) => this.#accounts.giveBackCredit(account),
+      giveBackCredit: (account) => this.#accounts.refundCredit(account),
       notAccepted: (err) =>
         this.#log.write("connection not accepted", { reason: messageOf(err) }),
       refused: (request, reason) => {
@@ -263,20 +264,20 @@
         this.#log.write("request refused", {
           request: request?.requestId ?? "",
           reason,
-          revision: this.#callers.version,
-          ...this.#accounts.fieldsOf(request),
+          revision: this.#callerListener.version,
+          ...this.#accounts.logFieldsOf(request),
         });
       },
     });
   }
 
-  #supervise(): Supervisor {
+  #createSupervisor(): Supervisor {
     const lookups = new LookupListener({
       listen: [this.#settings.listen.lookups, this.#settings.listen.readiness],
       dialect: this.#dialect,
       isReady: () => this.#isReady,
-      lookup: (question) => ({
-        addresses: this.#vms.addressesFor(question, performance.now()),
+      lookup: (query) => ({
+        addresses: this.#vms.addressesFor(query, performance.now()),
         ttlMs: Math.min(LOOKUP_TTL_MS, this.#settings.bounds.lookupMs),
       }),
     });
@@ -293,12 +294,12 @@
     });
     const relay = new RelayListener({
       listen: this.#settings.listen.peers,
-      news: (subject, question) => this.#feed.news(subject, question),
+      news: (subject, query) => this.#feed.news(subject, query),
     });
     [
       this.#beacon,
-      this.#accounts.credit,
-      this.#callers,
+      this.#accounts.creditExchange,
+      this.#callerListener,
       lookups,
       metrics,
       relay,
@@ -308,29 +309,30 @@
   }
 
   get #isReady(): boolean {
-    return !this.#leaving && this.#callers.version > 0 && this.#hasTargets;
+    return !this.#leaving && this.#callerListener.version > 0 &&
+      this.#hasTargets;
   }
 
-  /** Returns in how many milliseconds it is due again. */
+  /** Runs the periodic work; returns the time until the next tick, in milliseconds. */
   #tick(now: number): number {
     if (now >= this.#idleTickDueAt) {
       this.#idleTickDueAt = now + IDLE_TICK_MS - BUSY_TICK_MS;
       this.#idleTick(now);
     }
-    const nextMs = this.#path.tick(now);
+    const nextMs = this.#requestPath.tick(now);
     this.#loopDelay.ticked(now, nextMs);
     return nextMs;
   }
 
   #idleTick(now: number): void {
     this.#vms.sweep(now);
-    this.#tellVmChanges(now);
-    this.#path.steering.setFleetSize(this.#vms.fleetSize(now));
-    this.#path.idleTick(now);
+    this.#publishVmChanges(now);
+    this.#requestPath.steering.setFleetSize(this.#vms.fleetSize(now));
+    this.#requestPath.idleTick(now);
   }
 
   #probe(id: TargetId): void {
-    const { steering, targets } = this.#path;
+    const { steering, targets } = this.#requestPath;
     const target = targets.get(id);
     const path = targets.serviceOf(id)?.healthPath;
     if (target === undefined || path === undefined) {
@@ -340,9 +342,10 @@
     const roundTripMs = steering.roundTripTo(id);
     this.#prober.probe({ id, address, roundTripMs }, path).then(
       (health) => {
-        const isIt = health.target === undefined || health.target === id;
-        if (health.isHealthy && isIt) {
-          // It may have started anew since: its list entry tells that only later.
+        const isSameTarget = health.target === undefined ||
+          health.target === id;
+        if (health.isHealthy && isSameTarget) {
+          // The target may have restarted since; its entry in the store shows that only later.
           const coldMs = health.coldMs;
           steering.probeAnswered(id, { now: performance.now(), coldMs });
           this.#log.write("target answers again", { target: id });
@@ -353,8 +356,8 @@
     );
   }
 
-  #ended(exchange: GatewayExchange, end: GatewayExchangeEnd): void {
-    this.#callers.ended(exchange);
+  #onRequestEnd(exchange: GatewayExchange, end: GatewayExchangeEnd): void {
+    this.#callerListener.ended(exchange);
     const now = performance.now();
     const seconds = (now - exchange.startedAt) / 1_000;
     const { priority } = exchange.route;
@@ -366,114 +369,114 @@
     });
   }
 
-  #heard(heartbeat: Heartbeat): void {
+  #onHeartbeat(heartbeat: Heartbeat): void {
     const { member, isLeaving, seen, crashes } = heartbeat;
     const now = performance.now();
     if (this.#vms.heard(member, { now, isLeaving })) {
       this.#beacon.send({ kind: "greet", member });
     }
-    this.#tellVmChanges(now);
-    this.#told({ seen, crashes }, now);
+    this.#publishVmChanges(now);
+    this.#applyUpdates({ seen, crashes }, now);
     crashes.forEach((crash) => this.#beacon.send({ kind: "pass-on", crash }));
   }
 
-  #tellVmChanges(now: number): void {
+  #publishVmChanges(now: number): void {
     const changes = this.#vmChanges.take();
     for (const { change, instances } of changes) {
       this.#metrics.beliefChanged(`peer-${change}`, instances.length);
       this.#log.write(`peer ${change}`, { peer: instances.join(" ") });
     }
     if (changes.length > 0) {
-      this.#path.steering.setVms(this.#vms.up(now));
+      this.#requestPath.steering.setVms(this.#vms.up(now));
     }
   }
 
-  #heardWarm(pairs: readonly HashedPair[]): void {
+  #onWarmPairs(pairs: readonly HashedPair[]): void {
     const now = performance.now();
     for (const { object, target } of pairs) {
-      this.#path.steering.heardWarm({ object, target }, now);
+      this.#requestPath.steering.heardWarm({ object, target }, now);
     }
   }
 
-  #reported({ ages, leaving, seen, crashes }: ZoneReport): void {
+  #onZoneReport({ ages, leaving, seen, crashes }: ZoneReport): void {
     const now = performance.now();
     for (const [name, ageMs] of Object.entries(ages)) {
       const vm = name as VmId;
       const isLeaving = leaving.includes(vm);
       this.#vms.sighted({ vm, ageMs, isLeaving }, now);
     }
-    this.#tellVmChanges(now);
-    this.#told({ seen, crashes }, now);
+    this.#publishVmChanges(now);
+    this.#applyUpdates({ seen, crashes }, now);
   }
 
-  #told(
+  #applyUpdates(
     { seen, crashes }: Pick<ZoneReport, "seen" | "crashes">,
     now: number,
   ): void {
     for (const crash of crashes) {
-      this.#path.suspects.heard(crash, now);
+      this.#requestPath.suspects.heard(crash, now);
     }
     for (const [subject, version] of Object.entries(seen)) {
       this.#feed.hint(subject as WatchedSubject, version);
     }
   }
 
-  #onPlatform(event: FeedEvent): void {
+  #onFeedEvent(event: FeedEvent): void {
     const now = performance.now();
     switch (event.kind) {
       case "configuration":
-        this.#adopt(event.configuration);
+        this.#applyConfiguration(event.configuration);
         return;
       case "unusable-configuration":
-        this.#accounts.misconfigured();
+        this.#accounts.configurationRejected();
         this.#log.write("configuration not used", { reason: event.reason });
         return;
       case "evacuations":
-        this.#path.evacuate(event.zones, now);
+        this.#requestPath.evacuate(event.zones, now);
         return;
       case "targets":
         this.#hasTargets = true;
-        this.#path.listed(event.targets, now);
+        this.#requestPath.listed(event.targets, now);
         return;
       case "members":
         this.#vms.listed(event.members, now);
-        this.#sayHello();
+        this.#announceOnFirstList();
         return;
       case "contact":
         if (event.subject === "targets") {
-          this.#path.targets.contact(event.isLost, now);
+          this.#requestPath.targets.contact(event.isLost, now);
         }
-        this.#logContact(event);
+        this.#logConnectivity(event);
         return;
     }
   }
 
-  /** The VMs on the first list hear of this one; those that come later read the list and say so themselves. */
-  #sayHello(): void {
+  /** Sends a heartbeat to the VMs of the first member list; VMs that start later read the list and send theirs first. */
+  #announceOnFirstList(): void {
     if (!this.#hasMembers) {
       this.#hasMembers = true;
       this.#beacon.send({ kind: "beat" });
     }
   }
 
-  #logContact(
+  #logConnectivity(
     { subject, isLost, reason }: Extract<FeedEvent, { kind: "contact" }>,
   ): void {
     if (isLost) {
-      const why = reason === undefined ? {} : { reason };
-      this.#log.write("contact lost", { subject, ...why });
+      const fields = reason === undefined ? {} : { reason };
+      this.#log.write("contact lost", { subject, ...fields });
     } else {
       this.#log.write("contact regained", { subject });
     }
   }
 
-  #adopt(configuration: RoutingConfiguration): void {
-    if (configuration.version <= this.#callers.version) {
+  #applyConfiguration(configuration: RoutingConfiguration): void {
+    if (configuration.version <= this.#callerListener.version) {
       return;
     }
-    this.#callers.send({ kind: "configuration", configuration });
-    this.#accounts.configured();
-    this.#path.targets.setServices(configuration.services);
+    this.#callerListener.send({ kind: "configuration", configuration });
+    this.#accounts.configurationApplied();
+    this.#requestPath.targets.setServices(configuration.services);
     this.#log.write("configuration in force", {
       revision: configuration.version,
     });
--- a/packages/daemon/src/gateway/mod.ts
+++ b/packages/daemon/src/gateway/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway: the daemon on a platform whose store lists the targets and holds
+ * The gateway: the daemon for platforms whose store lists the targets and holds
  * the operators' configuration.
  *
  * @module
