--- a/packages/cli/src/change.ts
+++ b/packages/cli/src/change.ts
@@ -100,9 +100,9 @@
 function formatConflict(accepted: AuditEntry | undefined): string {
   return accepted === undefined
     ? "another change was accepted first"
-    : `"${
+    : `the change of ${accepted.who} was accepted first: "${
       formatChange(accepted.change)
-    }" by ${accepted.who} (${accepted.why}) was accepted first`;
+    }" (${accepted.why})`;
 }
 
 function exitCodeOf(
--- a/packages/config/src/preset_check.ts
+++ b/packages/config/src/preset_check.ts
@@ -110,9 +110,9 @@
     if (wanted > usable) {
       return [{
         path: ["services", index],
-        message: `demand for "${service.id}" is ${
-          round(wanted)
-        } slots; its capacity is ${round(usable)}`,
+        message: `the capacity of "${service.id}" is ${
+          round(usable)
+        } slots, less than its demand of ${round(wanted)}`,
       }];
     }
     return checkLinks(preset, service, { index, demand });
@@ -137,10 +137,10 @@
     return [{
       path: ["services", index, "targets"],
       message:
-        `demand for "${service.id}" in ${region} exceeds its capacity there by ` +
-        `${round(excess)} slots; its outgoing links carry ${
-          round(linkCapacity)
-        }`,
+        `${
+          round(excess)
+        } slots of "${service.id}" exceed the capacity of ${region}, ` +
+        `its outgoing links carry ${round(linkCapacity)}`,
     }];
   });
 }
