--- a/packages/config/src/preset_check.ts
+++ b/packages/config/src/preset_check.ts
@@ -139,8 +139,8 @@
       message:
         `${
           round(excess)
-        } slots of "${service.id}" exceed the capacity of ${region}, ` +
-        `its outgoing links carry ${round(linkCapacity)}`,
+        } slots of demand for "${service.id}" exceed the capacity of ${region}; ` +
+        `its outgoing links carry only ${round(linkCapacity)}`,
     }];
   });
 }
