--- a/packages/coordination/src/freshness/freshness.ts
+++ b/packages/coordination/src/freshness/freshness.ts
@@ -5,7 +5,8 @@
  * copy in time, or it still grants a right that has been revoked. The age of a copy
  * counts from the start of the read that returned it, since a change may have been
  * accepted at any moment after that. A copy received from another process counts from
- * the start of that process's read, with the time in transit added. Messages carry
+ * the start of that process's read, with the time in transit added. The time up to
+ * which a copy is known to be complete is called "known since". Messages carry
  * durations only, never wall-clock times.
  *
  * Times are milliseconds of the process's own monotonic clock, which must keep running
--- a/packages/daemon/src/gateway/accounts/accounts.ts
+++ b/packages/daemon/src/gateway/accounts/accounts.ts
@@ -24,7 +24,7 @@
   readonly settings: GatewaySettings;
   readonly vms: VmDirectory;
   /** The accounts in force; undefined where callers need no account. */
-  index(): AccountIndex | undefined;
+  accounts(): AccountIndex | undefined;
   /** Time since the start of the store read that returned the configuration known here, in milliseconds. */
   readAgeMs(): number;
 }
@@ -39,7 +39,7 @@
   #unusableSince: number | undefined;
 
   constructor(options: AccountsOptions) {
-    const { settings, vms, index } = options;
+    const { settings, vms, accounts } = options;
     const { listen, zones, bounds } = settings;
     const upInRegion = () => vms.upInRegion(performance.now());
     this.#options = options;
@@ -49,7 +49,7 @@
       regions: new Set(zones.values()).size,
       upInRegion,
       knownInRegion: () => vms.knownInRegion(performance.now()),
-      quotaOf: (account) => index()?.get(account)?.quota,
+      quotaOf: (account) => accounts()?.get(account)?.quota,
       onShortage: (account, wanted) =>
         this.creditExchange.borrow(account, wanted),
     });
@@ -90,7 +90,7 @@
   /** Handles a new configuration in force. */
   configurationApplied(): void {
     this.#unusableSince = undefined;
-    this.#ledger.retainOnly(this.#options.index()?.ids ?? new Set());
+    this.#ledger.retainOnly(this.#options.accounts()?.ids ?? new Set());
   }
 
   /** Handles a newer configuration that cannot be used. */
--- a/packages/daemon/src/gateway/accounts/credit_exchange.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange.ts
@@ -280,7 +280,7 @@
     try {
       message = JSON.parse(bytes.toString("utf8"));
     } catch {
-      // Not from a VM of this deployment; ignored.
+      // Not JSON, so not from a VM of this deployment; ignored.
       return;
     }
     if (isJSONRPCRequest(message)) {
@@ -347,8 +347,8 @@
     const request = this.#pending.get(Number(id));
     const response = creditResultSchema.safeParse(result);
     if (request === undefined || !response.success) {
-      // The response is malformed or came after the next owner was asked; in that case
-      // the credit it grants is not used.
+      // Malformed, or too late: the next owner has already been asked, and credit that a
+      // late response grants stays unused.
       return;
     }
     this.#pending.delete(Number(id));
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -146,7 +146,7 @@
     this.#accounts = new Accounts({
       settings,
       vms: this.#vms,
-      index: () => this.#callerListener.accounts,
+      accounts: () => this.#callerListener.accounts,
       readAgeMs: () => this.#feed.readAgeOf("operator"),
     });
     this.#beacon = new PeerBeacon({
@@ -281,7 +281,7 @@
         ttlMs: Math.min(LOOKUP_TTL_MS, this.#settings.bounds.lookupMs),
       }),
     });
-    const root = new Supervisor("gateway", {
+    const supervisor = new Supervisor("gateway", {
       listener: {
         taskFailed: (task, err) =>
           this.#log.write("task failed", { task, reason: messageOf(err) }),
@@ -304,8 +304,8 @@
       metrics,
       relay,
     ]
-      .forEach((task) => root.add(task));
-    return root;
+      .forEach((task) => supervisor.add(task));
+    return supervisor;
   }
 
   get #isReady(): boolean {
