--- a/packages/daemon/src/gateway/vm_directory.ts
+++ b/packages/daemon/src/gateway/vm_directory.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs of the system are up, and which of them a caller is told to use.
+ * Which VMs of the system are up, and which addresses a caller's look-up returns.
  *
  * @module
  */
@@ -14,54 +14,53 @@
 import type { LookupQuestion, Member } from "./ports.ts";
 
 /**
- * A VM that was not heard for this long is not named any more, in milliseconds:
- * three heartbeats, so that two lost datagrams in a row do not take a VM out.
+ * A VM without a heartbeat for this long counts as down: three heartbeats, so that two
+ * lost datagrams in a row do not suffice.
  */
-const HEARD_WITHIN_MS = 3_200;
+const HEARTBEAT_TIMEOUT_MS = 3_200;
 /**
- * The same for VMs of other zones, of which reports tell, in milliseconds: after
- * the loss of the VMs that report, their zone takes up to 3.2 s to notice, and one
- * more to report again. Meanwhile their word must hold, or a whole zone would seem
- * down.
+ * The same for VMs of the region's other zones, known from zone reports. When a zone
+ * loses its delegates, it takes up to 3.2 s to notice and one more second to report
+ * again. The last reports must stay valid meanwhile, or the whole zone would seem down.
  */
-const REPORTED_WITHIN_MS = 5_000;
+const ZONE_REPORT_TIMEOUT_MS = 5_000;
 /**
- * The same for VMs of other regions, which are told of less often, in milliseconds:
- * two reports. A VM that is gone may be named for 6 s.
+ * The same for VMs of other regions, which are reported less often: two reports and some
+ * more. Look-ups may return a VM that is gone for up to 6 s.
  */
-const REPORTED_FAR_WITHIN_MS = 5_500;
+const REGION_REPORT_TIMEOUT_MS = 5_500;
 /**
- * VMs count as part of the fleet this long after they were last heard, in
- * milliseconds. Limits that all VMs share are divided by their number: those
- * behind a cut use their part, too, and so do those that are not heard yet.
+ * VMs count as part of the fleet for this long after they were last seen alive or listed.
+ * Limits that all VMs share are divided by their number: VMs behind a network partition
+ * use their share, too, and so do VMs whose first heartbeat is still to come.
  */
-const FLEET_MEMORY_MS = 20_000;
-/** VMs of a zone that report: two, so that the zone does not seem down while one of them is cut off. */
-const REPORTING = 2;
-/** Fewer VMs than this in a caller's region, and it is told those of other regions too: it needs one to go to when another fails. */
-const LEAST_NEAR = 2;
-/** Most addresses in an answer. */
-const MOST_ADDRESSES = 64;
-
-/** A VM with what it is ranked by. */
+const FLEET_RETENTION_MS = 20_000;
+/** Delegates of a zone: two, so that the zone does not seem down while one of them is partitioned. */
+const DELEGATES_PER_ZONE = 2;
+/** With fewer VMs in a caller's region, a look-up returns all VMs: a caller needs another VM to use when one fails. */
+const MIN_ADDRESSES_IN_REGION = 2;
+/** Addresses that one look-up returns. */
+const MAX_ADDRESSES = 64;
+
+/** A VM with the hash that it is ranked by. */
 export interface RankedMember extends Member {
-  /** Hash of its name. */
+  /** Hash of the VM's id. */
   readonly hash: number;
 }
 
 interface Entry {
   member: RankedMember;
-  /** When it last gave word of itself, as far as this VM knows. */
-  heardAt: number;
-  /** When it was heard or listed. */
+  /** When it sent its last heartbeat, as far as this VM knows; -Infinity if it is down. */
+  lastSeenAt: number;
+  /** When it was last seen alive or first listed. */
   knownAt: number;
   isLeaving: boolean;
 }
 
-/** What a VM tells other zones of one VM of its own. */
+/** State of one VM of a zone in reports to other zones. */
 export interface VmSighting {
   readonly vm: VmId;
-  /** Time since it gave word of itself, in milliseconds. */
+  /** Time since its last heartbeat. */
   readonly ageMs: number;
   readonly isLeaving: boolean;
 }
@@ -80,21 +79,21 @@
     self: Member;
     onChange: (member: Member, change: VmChange) => void;
   }) {
-    this.#self = ranked(options.self);
+    this.#self = withHash(options.self);
     this.#onChange = options.onChange;
   }
 
-  /** This VM, with what it is ranked by. */
+  /** This VM, with the hash that it is ranked by. */
   get self(): RankedMember {
     return this.#self;
   }
 
-  /** This VM leaves. */
+  /** Marks this VM as leaving. */
   leave(): void {
     this.#selfLeaving = true;
   }
 
-  /** Members as the platform's store has them; they may be long gone. */
+  /** Adds the VMs that are registered in the platform's store; they may have stopped long ago. */
   listed(members: readonly Member[], now: number): void {
     for (const member of members) {
       if (member.vm === this.#self.vm) {
@@ -103,18 +102,18 @@
       const known = this.#entries.get(member.vm);
       if (known === undefined) {
         this.#entries.set(member.vm, {
-          member: ranked(member),
-          heardAt: -Infinity,
+          member: withHash(member),
+          lastSeenAt: -Infinity,
           knownAt: now,
           isLeaving: false,
         });
-      } else if (known.heardAt === -Infinity || !this.#isNear(known)) {
-        known.member = ranked(member);
+      } else if (known.lastSeenAt === -Infinity || !this.#isInZone(known)) {
+        known.member = withHash(member);
       }
     }
   }
 
-  /** A VM gave word of itself; true if it was not taken to be up. */
+  /** Records a heartbeat of a VM; true if the VM, or this instance of it, was not up before. */
   heard(member: Member, { now, isLeaving }: {
     now: number;
     isLeaving: boolean;
@@ -123,11 +122,11 @@
       return false;
     }
     const known = this.#entries.get(member.vm);
-    const wasUp = known !== undefined && this.#isHeard(known, now) &&
+    const wasUp = known !== undefined && this.#isAlive(known, now) &&
       known.member.instance === member.instance;
     this.#entries.set(member.vm, {
-      member: ranked(member),
-      heardAt: now,
+      member: withHash(member),
+      lastSeenAt: now,
       knownAt: now,
       isLeaving,
     });
@@ -139,19 +138,19 @@
     return !wasUp;
   }
 
-  /** Another zone reports one of its VMs. */
+  /** Records the state of a VM from another zone's report. */
   sighted({ vm, ageMs, isLeaving }: VmSighting, now: number): void {
     const known = this.#entries.get(vm);
-    // A VM whose row was not read yet is reported again within a second.
-    if (known === undefined || this.#isNear(known)) {
+    // A VM whose row was not read yet is skipped: it is reported again within two seconds.
+    if (known === undefined || this.#isInZone(known)) {
       return;
     }
-    const wasUp = this.#isHeard(known, now);
+    const wasUp = this.#isAlive(known, now);
     const wasLeaving = known.isLeaving;
-    known.heardAt = Math.max(known.heardAt, now - ageMs);
-    known.knownAt = Math.max(known.knownAt, known.heardAt);
+    known.lastSeenAt = Math.max(known.lastSeenAt, now - ageMs);
+    known.knownAt = Math.max(known.knownAt, known.lastSeenAt);
     known.isLeaving = isLeaving;
-    if (!this.#isHeard(known, now)) {
+    if (!this.#isAlive(known, now)) {
       return;
     }
     if (isLeaving && !(wasLeaving && wasUp)) {
@@ -161,58 +160,57 @@
     }
   }
 
-  /** Reports VMs that have fallen silent since the last call. */
+  /** Marks VMs as down whose last heartbeat has become too old. */
   sweep(now: number): void {
     for (const entry of this.#entries.values()) {
-      if (entry.heardAt !== -Infinity && !this.#isHeard(entry, now)) {
-        entry.heardAt = -Infinity;
+      if (entry.lastSeenAt !== -Infinity && !this.#isAlive(entry, now)) {
+        entry.lastSeenAt = -Infinity;
         this.#onChange(entry.member, "down");
       }
     }
   }
 
-  /** All other VMs of the zone that were ever known, up or not. */
+  /** All other known VMs of the zone, up or not. */
   near(): readonly Member[] {
-    return [...this.#entries.values()].filter((entry) => this.#isNear(entry))
+    return [...this.#entries.values()].filter((entry) => this.#isInZone(entry))
       .map(({ member }) => member);
   }
 
-  /**
-   * VMs of other zones to which this VM reports: all, if it is one of the first of
-   * its zone.
-   */
+  /** VMs of other zones to which this VM sends zone reports: all if it is a delegate, else none. */
   far(now: number): readonly Member[] {
-    return this.reports(now) ? this.#otherZones() : [];
+    return this.reports(now) ? this.#membersOfOtherZones() : [];
   }
 
-  /** Whether this VM is one of those of its zone that report. */
+  /** Whether this VM is a delegate of its zone: one of the two that rank highest. */
   reports(now: number): boolean {
-    return this.#aboveInZone(now) < REPORTING;
+    return this.#rankInZone(now) < DELEGATES_PER_ZONE;
   }
 
   /**
-   * VMs of the region's other zones, if this VM is the first of its zone. Other
-   * regions use targets in an order of their own, so that news of warm targets
-   * serve nobody better there, and bytes between regions are dear.
+   * VMs of the region's other zones, if this VM ranks highest in its zone. Other regions
+   * get no warm-target updates: they use targets in an order of their own, so the updates
+   * would not help them, and traffic between regions is expensive.
    */
   spokenTo(now: number): readonly Member[] {
-    return this.#aboveInZone(now) > 0
+    return this.#rankInZone(now) > 0
       ? []
-      : this.#otherZones().filter(({ region }) => region === this.#self.region);
+      : this.#membersOfOtherZones().filter(({ region }) =>
+        region === this.#self.region
+      );
   }
 
-  /** How many VMs of the zone that are up rank above this one. */
-  #aboveInZone(now: number): number {
+  /** Number of VMs of the zone that are up and rank above this one. */
+  #rankInZone(now: number): number {
     const ofZone = this.up(now).filter(({ zone }) => zone === this.#self.zone);
     return rankedAbove(this.#self, ofZone).length;
   }
 
-  #otherZones(): readonly Member[] {
-    return [...this.#entries.values()].filter((entry) => !this.#isNear(entry))
+  #membersOfOtherZones(): readonly Member[] {
+    return [...this.#entries.values()].filter((entry) => !this.#isInZone(entry))
       .map(({ member }) => member);
   }
 
-  /** VMs of the zone that are up or leaving, this one among them. */
+  /** VMs of the zone that are up or leaving, including this one. */
   sightings(now: number): readonly VmSighting[] {
     const sightings: VmSighting[] = [{
       vm: this.#self.vm,
@@ -220,10 +218,10 @@
       isLeaving: this.#selfLeaving,
     }];
     for (const entry of this.#entries.values()) {
-      if (this.#isNear(entry) && this.#isHeard(entry, now)) {
+      if (this.#isInZone(entry) && this.#isAlive(entry, now)) {
         sightings.push({
           vm: entry.member.vm,
-          ageMs: Math.round(now - entry.heardAt),
+          ageMs: Math.round(now - entry.lastSeenAt),
           isLeaving: entry.isLeaving,
         });
       }
@@ -231,18 +229,18 @@
     return sightings;
   }
 
-  /** VMs that share the fleet's limits, this one among them. */
+  /** Number of VMs that share the fleet's limits, including this one. */
   fleetSize(now: number): number {
     return 1 + [...this.#entries.values()]
-      .filter(({ knownAt }) => now - knownAt < FLEET_MEMORY_MS).length;
+      .filter(({ knownAt }) => now - knownAt < FLEET_RETENTION_MS).length;
   }
 
-  /** VMs of the region that are up, this one among them. */
+  /** VMs of the region that are up, including this one. */
   upInRegion(now: number): readonly RankedMember[] {
     return this.up(now).filter(({ region }) => region === this.#self.region);
   }
 
-  /** VMs that are up of each other region. */
+  /** VMs that are up, one list for each other region. */
   upInOtherRegions(now: number): readonly (readonly RankedMember[])[] {
     const regions = new Map<RegionId, RankedMember[]>();
     for (const vm of this.up(now)) {
@@ -253,67 +251,68 @@
     return [...regions.values()];
   }
 
-  /** VMs of the region that share its limits, this one among them: those that are up, or were lately. */
+  /** Number of VMs of the region that share its limits, including this one: those that are, or recently were, up or listed. */
   knownInRegion(now: number): number {
     return 1 +
       [...this.#entries.values()].filter(({ member, knownAt }) =>
-        member.region === this.#self.region && now - knownAt < FLEET_MEMORY_MS
+        member.region === this.#self.region &&
+        now - knownAt < FLEET_RETENTION_MS
       ).length;
   }
 
-  /** VMs that are up, this one among them. */
+  /** VMs that are up, including this one unless it is leaving. */
   up(now: number): readonly RankedMember[] {
     const up = this.#selfLeaving ? [] : [this.#self];
     for (const entry of this.#entries.values()) {
-      if (!entry.isLeaving && this.#isHeard(entry, now)) {
+      if (!entry.isLeaving && this.#isAlive(entry, now)) {
         up.push(entry.member);
       }
     }
     return up;
   }
 
-  /** VMs to ask for the store's news in place of the store, best first, without those in `except`. */
+  /** VMs to query for the store's changes in place of the store, best first, without those in `excluded`. */
   relays(
     now: number,
-    except: ReadonlySet<VmId> = new Set(),
+    excluded: ReadonlySet<VmId> = new Set(),
   ): readonly Member[] {
-    const up = this.up(now).filter(({ vm }) => !except.has(vm));
+    const up = this.up(now).filter(({ vm }) => !excluded.has(vm));
     return relaysFor(this.#self, up);
   }
 
-  /** VMs to ask where neither the store nor those of {@link relays} tell anything, best first. */
+  /** VMs to query if neither the store nor those of {@link relays} respond, best first. */
   fallbacks(now: number): readonly Member[] {
     return fallbacksFor(this.#self, this.up(now));
   }
 
-  /** Addresses for a caller, those of its region where there are enough. */
-  addressesFor(question: LookupQuestion, now: number): readonly string[] {
+  /** Addresses for a caller: those of its region if there are enough, else all. */
+  addressesFor(request: LookupQuestion, now: number): readonly string[] {
     const up = this.up(now);
-    const near = up.filter(({ region }) => region === question.region);
-    const told = near.length >= LEAST_NEAR ? near : up;
-    return told.slice(0, MOST_ADDRESSES)
+    const inRegion = up.filter(({ region }) => region === request.region);
+    const selected = inRegion.length >= MIN_ADDRESSES_IN_REGION ? inRegion : up;
+    return selected.slice(0, MAX_ADDRESSES)
       .map(({ callerAddress }) => callerAddress);
   }
 
-  #isNear({ member }: Entry): boolean {
+  #isInZone({ member }: Entry): boolean {
     return member.zone === this.#self.zone;
   }
 
-  #isHeard(entry: Entry, now: number): boolean {
-    return now - entry.heardAt < this.#heldMs(entry);
+  #isAlive(entry: Entry, now: number): boolean {
+    return now - entry.lastSeenAt < this.#timeoutMs(entry);
   }
 
-  /** How long the last word of a VM holds, in milliseconds. */
-  #heldMs(entry: Entry): number {
-    if (this.#isNear(entry)) {
-      return HEARD_WITHIN_MS;
+  /** Time after its last heartbeat at which a VM counts as down. */
+  #timeoutMs(entry: Entry): number {
+    if (this.#isInZone(entry)) {
+      return HEARTBEAT_TIMEOUT_MS;
     }
     return entry.member.region === this.#self.region
-      ? REPORTED_WITHIN_MS
-      : REPORTED_FAR_WITHIN_MS;
+      ? ZONE_REPORT_TIMEOUT_MS
+      : REGION_REPORT_TIMEOUT_MS;
   }
 }
 
-function ranked(member: Member): RankedMember {
+function withHash(member: Member): RankedMember {
   return { ...member, hash: hashText(member.vm) };
 }
--- a/packages/daemon/src/gateway/vm_directory_test.ts
+++ b/packages/daemon/src/gateway/vm_directory_test.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs callers are told to use.
+ * Which VMs are up, and which addresses look-ups return.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 import { memberNamed } from "./testing.ts";
 import { VmDirectory } from "./vm_directory.ts";
 
-function member(vm: string, region: string, life = "a"): Member {
+function member(vm: string, region: string, run = "a"): Member {
   return memberNamed(vm, {
-    instance: `${vm}.${life}` as InstanceId,
+    instance: `${vm}.${run}` as InstanceId,
     zone: `${region}-1` as ZoneId,
     region: region as RegionId,
   });
@@ -27,7 +27,7 @@
   return { vms, changes };
 }
 
-function told(vms: VmDirectory, region: string, now: number) {
+function addresses(vms: VmDirectory, region: string, now: number) {
   return vms.addressesFor(
     { region: region as RegionId, zone: `${region}-1` as ZoneId },
     now,
@@ -37,46 +37,45 @@
 const UP = { isLeaving: false };
 
 describe("a look-up", () => {
-  test("names only VMs that were heard, not those that are merely listed", () => {
-    // The store lists each VM that ever ran. One that lost its power for good stays
-    // listed, and callers who are told to use it wait for a connection that never
-    // comes.
+  test("returns only VMs with heartbeats, not those that are merely listed", () => {
+    // The store lists every VM that ever ran, also one that lost power for good. A caller
+    // that gets its address waits for a connection that is never accepted.
     const { vms } = directory();
     vms.listed([member("n-2", "north"), member("n-3", "north")], 0);
     vms.heard(member("n-2", "north"), { now: 0, ...UP });
-    expect(told(vms, "north", 100)).toEqual(["n-1:80", "n-2:80"]);
+    expect(addresses(vms, "north", 100)).toEqual(["n-1:80", "n-2:80"]);
   });
 
-  test("stops naming a VM that has fallen silent or leaves", () => {
+  test("no longer returns a VM that is unresponsive or leaving", () => {
     const { vms, changes } = directory();
     vms.heard(member("n-2", "north"), { now: 0, ...UP });
     vms.heard(member("n-3", "north"), { now: 0, ...UP });
     vms.heard(member("n-3", "north"), { now: 2_000, isLeaving: true });
     vms.sweep(4_000);
-    expect(told(vms, "north", 4_000)).toEqual(["n-1:80"]);
+    expect(addresses(vms, "north", 4_000)).toEqual(["n-1:80"]);
     expect(changes).toEqual(["n-2 up", "n-3 up", "n-3 leaving", "n-2 down"]);
   });
 
-  test("names other regions where the caller's own has too few", () => {
+  test("returns VMs of other regions if the caller's region has too few", () => {
     const { vms } = directory();
     vms.heard(member("s-1", "south"), { now: 0, ...UP });
     vms.heard(member("s-2", "south"), { now: 0, ...UP });
-    expect(told(vms, "south", 0)).toEqual(["s-1:80", "s-2:80"]);
-    expect(told(vms, "north", 0)).toEqual(["n-1:80", "s-1:80", "s-2:80"]);
+    expect(addresses(vms, "south", 0)).toEqual(["s-1:80", "s-2:80"]);
+    expect(addresses(vms, "north", 0)).toEqual(["n-1:80", "s-1:80", "s-2:80"]);
   });
 
-  test("does not name this VM once it leaves", () => {
+  test("does not return this VM once it is leaving", () => {
     const { vms } = directory();
     vms.leave();
-    expect(told(vms, "north", 0)).toEqual([]);
+    expect(addresses(vms, "north", 0)).toEqual([]);
   });
 });
 
-test("a VM that has started anew is greeted again", () => {
+test("a VM that has restarted is greeted again", () => {
   const { vms } = directory();
-  const heard = (life: string, now: number) =>
-    vms.heard(member("n-2", "north", life), { now, ...UP });
-  expect([heard("a", 0), heard("a", 1_000), heard("b", 1_500)])
+  const isNew = (run: string, now: number) =>
+    vms.heard(member("n-2", "north", run), { now, ...UP });
+  expect([isNew("a", 0), isNew("a", 1_000), isNew("b", 1_500)])
     .toEqual([true, false, true]);
 });
 
@@ -87,7 +86,7 @@
     isLeaving: false,
   });
 
-  test("are up as long as a report says that they were heard lately", () => {
+  test("are up while reports show recent heartbeats", () => {
     const { vms, changes } = directory();
     vms.listed([member("s-1", "south"), member("s-2", "south")], 0);
     vms.sighted(report("s-1", 200), 1_000);
@@ -99,10 +98,10 @@
     expect(changes).toEqual(["s-1 up", "s-2 up", "s-2 down"]);
   });
 
-  test("seem up while their zone takes to notice that those who reported are gone", () => {
-    // All VMs that report for a zone are lost at once. The others of that zone notice
-    // after 3.2 s and report then. If their word did not hold as long, a whole zone
-    // would seem down, and the work on its targets would move elsewhere.
+  test("stay up until their zone notices the loss of its delegates", () => {
+    // A zone loses all its delegates at once. Its other VMs notice after 3.2 s and then
+    // report. If the last reports were not valid that long, the whole zone would seem
+    // down, and its targets' requests would move to other zones.
     const { vms } = directory();
     vms.listed([member("s-1", "south")], 0);
     vms.sighted(report("s-1", 0), 1_000);
@@ -110,9 +109,9 @@
       .toEqual(["n-1", "s-1"]);
   });
 
-  test("are reported to by two VMs of each zone alone", () => {
+  test("get reports from only two VMs of each zone", () => {
     const names = ["n-1", "n-2", "n-3", "n-4"];
-    const reporting = names.filter((name) => {
+    const delegates = names.filter((name) => {
       const vms = new VmDirectory({
         self: member(name, "north"),
         onChange: () => undefined,
@@ -123,13 +122,14 @@
       );
       return vms.far(100).length > 0;
     });
-    expect(reporting).toHaveLength(2);
+    expect(delegates).toHaveLength(2);
   });
 
-  test("share the fleet's limits also while they are not heard", () => {
-    // A region is cut off. Both sides go on, and a limit on all VMs together holds
-    // only if each VM keeps to its part of the whole. With parts of what each side
-    // sees, both sides together would send twice the retries that targets bear.
+  test("share the fleet's limits even while their heartbeats are missing", () => {
+    // A region is partitioned, and both sides keep running. A limit on all VMs together
+    // holds only if each VM keeps to its share of the full fleet. With shares of the VMs
+    // that each side sees, both sides together would send twice the retries that targets
+    // can handle.
     const { vms } = directory();
     vms.listed([member("s-1", "south"), member("n-2", "north")], 0);
     vms.sighted(report("s-1", 0), 1_000);
@@ -140,7 +140,7 @@
   });
 });
 
-test("one VM of each zone speaks to the other zones of its region, and to no other region", () => {
+test("one VM of each zone sends warm-target updates to the other zones of its region, and to no other region", () => {
   const inZone = (vm: string, zone: string, region: string) => ({
     ...member(vm, region),
     zone: zone as ZoneId,
@@ -151,13 +151,13 @@
     inZone("n-3", "north-2", "north"),
     inZone("s-1", "south-1", "south"),
   ];
-  const spokenTo = all.slice(0, 2).map((self) => {
+  const recipients = all.slice(0, 2).map((self) => {
     const vms = new VmDirectory({ self, onChange: () => undefined });
     vms.listed(all, 0);
     all.forEach((one) => vms.heard(one, { now: 0, ...UP }));
     return vms.spokenTo(100).map(({ vm }) => vm);
   });
-  expect(spokenTo.toSorted((a, b) => a.length - b.length)).toEqual([
+  expect(recipients.toSorted((a, b) => a.length - b.length)).toEqual([
     [],
     ["n-3"],
   ]);
