--- a/packages/daemon/src/gateway/peer_beacon.ts
+++ b/packages/daemon/src/gateway/peer_beacon.ts
@@ -34,7 +34,7 @@
 } from "./peer_words.ts";
 import type { Member } from "./ports.ts";
 import type { ListenAddress } from "./settings.ts";
-import type { VmSighting } from "./vm_directory.ts";
+import type { VmStatus } from "./vm_directory.ts";
 import { decodePairs, encodePairs, WarmUpdates } from "./warm_updates.ts";
 
 /** Interval of heartbeats. A VM counts as down after three missing ones. */
@@ -63,7 +63,7 @@
 /** How often a VM with pending updates that doesn't send to other zones checks whether it has become the one that does. */
 const DELEGATE_CHECK_MS = 3_000;
 /** VMs in one zone report; each takes about 35 bytes. */
-const MAX_SIGHTINGS_PER_REPORT = 25;
+const MAX_VMS_PER_REPORT = 25;
 
 /** Most recently used pairs that each delegate sends to a VM that has just started: 8 datagrams. */
 const MAX_GREETING_PAIRS = 800;
@@ -118,7 +118,7 @@
   heardWarm(pairs: readonly HashedPair[]): void;
   heardLimits(updates: readonly LimitWord[]): void;
   /** VMs of the zone that are up or leaving, including this one. */
-  sightings(): readonly VmSighting[];
+  sightings(): readonly VmStatus[];
   /** Contents of this VM's heartbeat, except crashes. */
   ownWord(): Omit<Heartbeat, "crashes">;
   heard(heartbeat: Heartbeat): void;
@@ -366,10 +366,10 @@
       ...this.#forwardedCrashes.current(),
     ]
       .slice(-MAX_CRASHES_PER_ZONE_REPORT);
-    const sightings = this.#options.sightings();
+    const statuses = this.#options.sightings();
     const reports: Buffer[] = [];
-    for (let at = 0; at < sightings.length; at += MAX_SIGHTINGS_PER_REPORT) {
-      const vms = sightings.slice(at, at + MAX_SIGHTINGS_PER_REPORT);
+    for (let at = 0; at < statuses.length; at += MAX_VMS_PER_REPORT) {
+      const vms = statuses.slice(at, at + MAX_VMS_PER_REPORT);
       reports.push(encodeNotification("zone", {
         seen,
         crashes,
--- a/packages/daemon/src/gateway/platform_feed.ts
+++ b/packages/daemon/src/gateway/platform_feed.ts
@@ -20,7 +20,7 @@
 import { SubjectWatch } from "./subject_watch.ts";
 
 /** Pause before another attempt to write the VM's row. */
-const ANNOUNCE_RETRY_MS = 400;
+const REGISTER_RETRY_MS = 400;
 
 /** A change of the platform, or of the connectivity to it. */
 export type FeedEvent =
@@ -57,7 +57,7 @@
   /** Follows all subjects until {@link close}, and registers `self`. */
   start(self: Member): void {
     this.#watches.forEach((watch) => void watch.run());
-    void this.#announce(self);
+    void this.#register(self);
   }
 
   /** A peer reports a version that this VM may have missed. */
@@ -127,7 +127,7 @@
     });
   }
 
-  async #announce(self: Member): Promise<void> {
+  async #register(self: Member): Promise<void> {
     const { signal } = this.#closed;
     while (!signal.aborted) {
       try {
@@ -138,7 +138,7 @@
           reason: messageOf(err),
         });
       }
-      await pause(ANNOUNCE_RETRY_MS, signal);
+      await pause(REGISTER_RETRY_MS, signal);
     }
   }
 }
--- a/packages/daemon/src/gateway/ports.ts
+++ b/packages/daemon/src/gateway/ports.ts
@@ -114,7 +114,7 @@
   /** Waits for changes of a subject; rejects with {@link HistoryGoneError} if the history no longer holds them. */
   changes(
     subject: WatchedSubject,
-    question: ChangesQuestion,
+    request: ChangesQuestion,
   ): Promise<RowsPage>;
   /** Decodes all rows of a subject. */
   decode(
@@ -220,7 +220,7 @@
   readLookup(url: string): LookupQuestion | undefined;
   /** JSON body of the reply to a look-up. */
   lookupBody(
-    answer: { readonly addresses: readonly string[]; readonly ttlMs: number },
+    reply: { readonly addresses: readonly string[]; readonly ttlMs: number },
   ): string;
   /** Whether `url` is the readiness check of this VM. */
   isReadinessQuestion(url: string): boolean;
--- a/packages/daemon/src/gateway/subject_watch.ts
+++ b/packages/daemon/src/gateway/subject_watch.ts
@@ -100,7 +100,7 @@
 /** Options of a {@link SubjectWatch}. */
 export interface SubjectWatchOptions extends ChangeSourcesOptions {
   readonly store: Pick<PlatformPort, "list" | "changes">;
-  queryRelay(relay: Member, question: RelayRequest): Promise<RelayResponse>;
+  queryRelay(relay: Member, request: RelayRequest): Promise<RelayResponse>;
   readonly listener: SubjectListener;
 }
 
@@ -121,6 +121,7 @@
   #knownSince = performance.now() - NEVER_CONFIRMED_AGE_MS;
   /** When the store last confirmed that the copy is complete. */
   #confirmedAt = performance.now() - NEVER_CONFIRMED_AGE_MS;
+  /** When the store was last restored, for this VM or its relay. */
   #restoredAt = -Infinity;
   #isLost = false;
   #lostAt = -Infinity;
@@ -180,7 +181,10 @@
     }, MISSED_CHANGE_TIMEOUT_MS);
   }
 
-  /** Response to a peer, as soon as there are changes or the wait is over; undefined if nothing was read yet. */
+  /**
+   * Response to a peer's request, as soon as there are changes or a confirmation, or the
+   * wait is over; undefined if the rows have not been read.
+   */
   async changesAfter(
     request: RelayRequest,
   ): Promise<RelayResponse | undefined> {
@@ -203,7 +207,7 @@
       const isSecondHand = this.#sources.isRelayed(now);
       const staleAt = request.isPatient
         ? Infinity
-        : this.#reportsStaleAt(receivedAt, now);
+        : this.#staleResponseAt(receivedAt, now);
       const isDue = changes.isWhole || changes.rows.length > 0 ||
         isSecondHand || this.#confirmedAt > receivedAt ||
         now >= Math.min(waitUntil, staleAt) ||
@@ -243,8 +247,8 @@
     return this.#confirmedAt + CHANGE_WAIT_MS[this.#subject] + STALE_MARGIN_MS;
   }
 
-  /** When a request received at `receivedAt` gets the response that this VM's rows are stale. */
-  #reportsStaleAt(receivedAt: number, now: number): number {
+  /** When a request received at `receivedAt` gets a response because this VM's rows are stale. */
+  #staleResponseAt(receivedAt: number, now: number): number {
     const isStuck = this.#queriedRelay === undefined &&
       now >= this.#lastStoreCallAt + PENDING_READ_WAIT_MS;
     return isStuck
@@ -307,8 +311,8 @@
       this.#sources.fallbackResponded(isConfirmedSince, now);
     }
     // A confirmation from before the loss doesn't show that the fallback reaches the store.
-    const isHelpful = isFallback ? isConfirmedSince : isFresh;
-    if (isHelpful) {
+    const isConfirmation = isFallback ? isConfirmedSince : isFresh;
+    if (isConfirmation) {
       this.#succeeded(now - response.ageMs);
     }
     this.#apply(response.isWhole, {
@@ -320,7 +324,7 @@
     );
     if (!isFresh) {
       this.#backOff(relay, STALE_BACK_OFF_MS, "its rows are stale");
-    } else if (!isHelpful) {
+    } else if (!isConfirmation) {
       this.#backOff(
         relay,
         UNCONFIRMED_BACK_OFF_MS,
@@ -343,12 +347,12 @@
     if (regainedMs === undefined || regainedMs > RECENT_RECOVERY_MS) {
       return;
     }
-    const regainedAt = now - regainedMs;
+    const restoredAt = now - regainedMs;
     if (
       !this.#isLost &&
-      regainedAt > this.#restoredAt + SAME_RECOVERY_TOLERANCE_MS
+      restoredAt > this.#restoredAt + SAME_RECOVERY_TOLERANCE_MS
     ) {
-      this.#restoredAt = regainedAt;
+      this.#restoredAt = restoredAt;
       this.#options.listener.connectivityChanged(
         true,
         "the relay had lost the store",
--- a/packages/daemon/src/gateway/target_directory.ts
+++ b/packages/daemon/src/gateway/target_directory.ts
@@ -16,7 +16,7 @@
  * target is gone. Otherwise each return of the store would empty the list, and requests
  * would be refused because there are no targets.
  */
-const REANNOUNCE_WAIT_MS = 2_000;
+const REREGISTRATION_WAIT_MS = 2_000;
 
 /** Targets kept as leaving by their own statement, also after they are removed: an expired entry may come back. */
 const MAX_ANNOUNCED_LEAVING = 1_000;
@@ -56,7 +56,7 @@
   readonly #announcedLeaving = new Map<TargetId, number | undefined>();
   #services: ReadonlyMap<ServiceId, Service> = new Map();
   #isListLost = false;
-  #lapsesExpectedUntil = 0;
+  #expiredEntriesUntil = 0;
 
   constructor(options: TargetDirectoryOptions) {
     this.#options = options;
@@ -111,7 +111,7 @@
   /** The list cannot be read (`isLost`), or can be read again. */
   contact(isLost: boolean, now: number): void {
     if (this.#isListLost && !isLost) {
-      this.#lapsesExpectedUntil = now + REANNOUNCE_WAIT_MS;
+      this.#expiredEntriesUntil = now + REREGISTRATION_WAIT_MS;
     }
     this.#isListLost = isLost;
   }
@@ -130,7 +130,7 @@
     }
     for (const id of this.#known.keys()) {
       if (!listed.has(id) && !this.#missingUntil.has(id)) {
-        this.#missingUntil.set(id, this.#lapsesExpectedUntil);
+        this.#missingUntil.set(id, this.#expiredEntriesUntil);
       }
     }
     this.sweep(now);
--- a/packages/daemon/src/gateway/vm_directory.ts
+++ b/packages/daemon/src/gateway/vm_directory.ts
@@ -58,7 +58,7 @@
 }
 
 /** State of one VM of a zone in reports to other zones. */
-export interface VmSighting {
+export interface VmStatus {
   readonly vm: VmId;
   /** Time since its last heartbeat. */
   readonly ageMs: number;
@@ -139,7 +139,7 @@
   }
 
   /** Records the state of a VM from another zone's report. */
-  sighted({ vm, ageMs, isLeaving }: VmSighting, now: number): void {
+  sighted({ vm, ageMs, isLeaving }: VmStatus, now: number): void {
     const known = this.#entries.get(vm);
     // A VM whose row was not read yet is skipped: it is reported again within two seconds.
     if (known === undefined || this.#isInZone(known)) {
@@ -211,22 +211,22 @@
   }
 
   /** VMs of the zone that are up or leaving, including this one. */
-  sightings(now: number): readonly VmSighting[] {
-    const sightings: VmSighting[] = [{
+  sightings(now: number): readonly VmStatus[] {
+    const statuses: VmStatus[] = [{
       vm: this.#self.vm,
       ageMs: 0,
       isLeaving: this.#selfLeaving,
     }];
     for (const entry of this.#entries.values()) {
       if (this.#isInZone(entry) && this.#isAlive(entry, now)) {
-        sightings.push({
+        statuses.push({
           vm: entry.member.vm,
           ageMs: Math.round(now - entry.lastSeenAt),
           isLeaving: entry.isLeaving,
         });
       }
     }
-    return sightings;
+    return statuses;
   }
 
   /** Number of VMs that share the fleet's limits, including this one. */
