--- a/packages/daemon/src/gateway/limit_news.ts
+++ b/packages/daemon/src/gateway/limit_news.ts
@@ -1,10 +1,10 @@
 /**
  * Limit updates between VMs: the request rates that targets state as their limits.
  *
- * Needed in fleets of hundreds of VMs. A VM that learns of limits by its own requests only
- * needs one request for that; one from each VM is the very load that the target wants to
- * avoid. And a VM would learn of the end of a limit only with its next request to the
- * target, minutes later.
+ * On its own, a VM learns of a limit only from the response to a request. In a fleet of
+ * hundreds of VMs, one request from each is as much load as the target asked to be spared;
+ * and a VM would learn of the end of a limit only in its next time slot for the target,
+ * minutes later.
  *
  * @module
  */
