--- a/packages/daemon/src/gateway/attempt_record.ts
+++ b/packages/daemon/src/gateway/attempt_record.ts
@@ -1,6 +1,6 @@
 /**
- * What has become of the attempts of one request: to which targets it went, and
- * whether any of them may have run it.
+ * The attempts of one request: the targets it was sent to, and whether any of them
+ * may have run it.
  *
  * @module
  */
@@ -8,54 +8,54 @@
 import type { TargetId } from "@poplarthread/ids";
 
 /**
- * Connections that may fail to come about for one request. None of them reached
- * a target; after this many the list of targets is of no use for the moment.
+ * Maximum number of failed connects for one request. None of them reached a target;
+ * after more, the list of targets is not usable for the moment.
  */
-const MOST_UNREACHABLE = 4;
+const MAX_FAILED_CONNECTS = 4;
 
-/** See the module's comment. */
+/** The attempts of one request; see the module comment. */
 export class AttemptRecord {
-  /** Targets that it must not go to again. */
+  /** Targets that the request must not be sent to again. */
   readonly tried = new Set<TargetId>();
   #written = 0;
-  #unreachable = 0;
+  #failedConnects = 0;
   #mayHaveRun = false;
-  /** A target of an attempt before the last one may have run it. */
+  /** Whether the target of an attempt before the last one may have run the request. */
   #mayHaveRunBefore = false;
 
-  /** Attempts that were written to a target. */
+  /** Number of attempts that were written to a target. */
   get written(): number {
     return this.#written;
   }
 
-  /** Whether a target may have run the request. */
+  /** Whether any target may have run the request. */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun;
   }
 
-  /** Whether connecting has failed too often for another try. */
-  get isOutOfReach(): boolean {
-    return this.#unreachable > MOST_UNREACHABLE;
+  /** Whether connecting has failed too often for another attempt. */
+  get hasTooManyFailedConnects(): boolean {
+    return this.#failedConnects > MAX_FAILED_CONNECTS;
   }
 
-  /** An attempt is about to be written. */
-  writes(): void {
+  /** Records that an attempt is about to be written. */
+  writing(): void {
     this.#written += 1;
     this.#mayHaveRun = true;
   }
 
-  /** The target of the last attempt says that it did not run the request. */
+  /** Records that the target of the last attempt reported not running the request. */
   didNotRun(): void {
     this.#mayHaveRun = this.#mayHaveRunBefore;
   }
 
-  /** The last attempt failed, and its target may have run the request. */
+  /** Records that the last attempt failed and its target may have run the request. */
   failed(): void {
     this.#mayHaveRunBefore = true;
   }
 
-  /** No connection came about for the last attempt. */
+  /** Records that connecting failed for the last attempt. */
   didNotConnect(): void {
-    this.#unreachable += 1;
+    this.#failedConnects += 1;
   }
 }
--- a/packages/daemon/src/gateway/attempt_report.ts
+++ b/packages/daemon/src/gateway/attempt_report.ts
@@ -1,6 +1,6 @@
 /**
- * Tells everybody concerned how an attempt ended: the log, the connections, the
- * steering, and the watch over requests that crash targets.
+ * Reports the end of an attempt to the log, the connection pool, the steering and
+ * the tracker of requests that crash targets.
  *
  * @module
  */
@@ -16,42 +16,42 @@
 import type { TargetDirectory } from "./target_directory.ts";
 import type { TargetAttempt, TargetAttemptEnd } from "./target_attempt.ts";
 
-/** Who is told. */
+/** Receivers of the report. */
 export interface AttemptReportServices {
   readonly steering: Steering;
   readonly targets: TargetDirectory;
   readonly connections: ConnectionSource;
   readonly suspects: CrashSuspects;
   readonly log: EventLog;
-  /** Told of what a target says of its limit with an answer. */
-  limitNamed(word: LimitWord): void;
+  /** Called with the request limit that a target reported in a response, or lifted. */
+  limitReported(limit: LimitWord): void;
 }
 
-/** The end of an attempt, and whose it was. */
+/** How an attempt ended, and which request it belongs to. */
 export interface AttemptReport {
   readonly end: TargetAttemptEnd;
   readonly now: number;
-  /** The caller's id of the request. */
+  /** The caller's request id. */
   readonly request: string;
   /** Hash of the object that the request concerns. */
   readonly object: number | undefined;
-  /** Name of its route. */
+  /** Name of the route. */
   readonly requestKind: string;
-  /** Whether the target was taken to keep the object. */
+  /** Whether the target was expected to hold the object in its cache. */
   readonly warmth: Warmth;
-  /** What repeats of the request have in common with it. */
+  /** Digest that is equal for repeats of the request; see {@link CrashSuspects.digestOf}. */
   readonly digest: string | undefined;
 }
 
-/** See the module's comment. */
+/** Reports the end of an attempt to all receivers. */
 export function reportAttempt(
   services: AttemptReportServices,
   attempt: TargetAttempt,
   report: AttemptReport,
 ): void {
   logFailure(services.log, attempt, report);
-  tellConnections(services.connections, attempt, report.end);
-  tellSteering(services, attempt, report);
+  releaseConnection(services.connections, attempt, report.end);
+  reportToSteering(services, attempt, report);
 }
 
 function logFailure(
@@ -62,7 +62,7 @@
   if (end.kind === "answered" || end.kind === "abandoned") {
     return;
   }
-  const load = end.kind === "not-run" ? end.answer.load : undefined;
+  const load = end.kind === "not-run" ? end.response.load : undefined;
   log.write("attempt failed", {
     request,
     target: attempt.target,
@@ -75,7 +75,7 @@
   });
 }
 
-function tellConnections(
+function releaseConnection(
   connections: ConnectionSource,
   { connection }: TargetAttempt,
   end: TargetAttemptEnd,
@@ -87,7 +87,7 @@
   }
 }
 
-function tellSteering(
+function reportToSteering(
   services: AttemptReportServices,
   { target, writtenAt }: TargetAttempt,
   { end, now, digest, object, requestKind, warmth }: AttemptReport,
@@ -97,7 +97,7 @@
   switch (end.kind) {
     case "answered":
     case "not-run": {
-      const { load, status, isOtherTarget } = end.answer;
+      const { load, status, isOtherTarget } = end.response;
       const failed = end.kind === "not-run" || status >= 500;
       steering.ended(target, {
         kind: "answered",
@@ -110,19 +110,19 @@
       if (isOtherTarget) {
         steering.unreachable(target, now);
       } else {
-        tellNotices(services, target, { answer: end.answer, now });
+        handleNotices(services, target, { response: end.response, now });
       }
       return;
     }
     case "broke":
       steering.ended(target, { kind: "broke" }, times);
-      suspects.broke(digest, target, now);
+      suspects.attemptBroke(digest, target, now);
       return;
     case "unreachable":
       steering.ended(target, { kind: "abandoned" }, times);
       if (!(end.err instanceof NotSentError)) {
         steering.unreachable(target, now);
-        suspects.crashed(target, now);
+        suspects.targetCrashed(target, now);
       }
       return;
     case "abandoned":
@@ -131,15 +131,15 @@
   }
 }
 
-/** Takes in what an answer says of its target besides the load. */
-function tellNotices(
+/** Handles what a response reports about its target besides load: limit, leaving and back-off. */
+function handleNotices(
   services: AttemptReportServices,
   target: TargetId,
-  { answer, now }: { readonly answer: TargetAnswer; readonly now: number },
+  { response, now }: { readonly response: TargetAnswer; readonly now: number },
 ): void {
-  const { limitPerSecond: perSecond, isLeaving, restMs } = answer;
-  if (perSecond !== undefined || saysNoLimit(answer)) {
-    services.limitNamed({ target, perSecond, at: now });
+  const { limitPerSecond: perSecond, isLeaving, restMs } = response;
+  if (perSecond !== undefined || liftsLimit(response)) {
+    services.limitReported({ target, perSecond, at: now });
   }
   if (isLeaving) {
     services.targets.saysLeaving(target);
@@ -153,8 +153,8 @@
   }
 }
 
-/** Only a success ends a limit: what a target in need sends when it fails may lack the line. */
-function saysNoLimit(
+/** Whether the response lifts the limit. Only a success does: an overloaded target may omit the header from its error responses. */
+function liftsLimit(
   { status, isStamped, limitPerSecond }: TargetAnswer,
 ): boolean {
   return isStamped && status < 300 && limitPerSecond === undefined;
--- a/packages/daemon/src/gateway/caller_listener.ts
+++ b/packages/daemon/src/gateway/caller_listener.ts
@@ -1,5 +1,5 @@
 /**
- * Listens for callers' requests.
+ * The HTTP server for callers' requests.
  *
  * @module
  */
@@ -28,100 +28,99 @@
 } from "./configuration.ts";
 import type { Credit } from "./accounts/credit_exchange.ts";
 import type { GatewayExchange } from "./exchange.ts";
-import { type OwnAnswerReason, sendOwnAnswer } from "./own_answer.ts";
+import { type OwnAnswerReason, sendLocalReply } from "./own_answer.ts";
 import type { CallerRequest, Dialect } from "./ports.ts";
 import type { RequestPath } from "./request_path.ts";
 import type { ListenAddress } from "./settings.ts";
 
-/** Until a configuration says otherwise. */
-const HEADER_BYTES = 16_384;
-const HEADER_TIMEOUT_MS = 5_000;
-const IDLE_TIMEOUT_MS = 15_000;
+// Defaults until a configuration is known.
+const DEFAULT_HEADER_BYTES = 16_384;
+const DEFAULT_HEADER_TIMEOUT_MS = 5_000;
+const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 /**
- * A connection stays this much longer than the limit on idle ones, in
- * milliseconds: a request that is on its way when the limit passes must not
- * meet a closed connection.
+ * Time that a connection is kept beyond the idle timeout, so that a request in
+ * transit when the timeout passes does not meet a closed connection.
  */
 const IDLE_GRACE_MS = 1_000;
-/** How often Node looks for slow headers, in milliseconds. */
-const SLOW_CHECK_MS = 1_000;
-/** Connections that may wait to be accepted: all clients of a zone may come at once after a fault. */
-const BACKLOG = 1_024;
-/** How often a connection with malformed input is looked at until its answers are out, in milliseconds. */
-const PENDING_CHECK_MS = 20;
-/** Retry-After while no configuration is known, in milliseconds: a read of the store takes some 10 to 100. */
+/** Interval at which Node checks connections for header timeouts. */
+const TIMEOUT_CHECK_INTERVAL_MS = 1_000;
+/** Listen backlog: after a fault, all clients of a zone may reconnect at once. */
+const MAX_PENDING_CONNECTIONS = 1_024;
+/** Interval at which a connection with malformed input is checked for pending responses before it is closed. */
+const PENDING_CHECK_INTERVAL_MS = 20;
+/** Retry-After while no configuration is known. Reading it from the store takes about 10 to 100 ms. */
 const NOT_READY_RETRY_MS = 250;
 
-/** What the listener is told. */
+/** Messages to the listener. */
 export type CallerListenerMessage =
   | {
     readonly kind: "configuration";
     readonly configuration: RoutingConfiguration;
   }
-  /** This VM leaves: answers end their connections. */
+  /** This VM is leaving: responses close their connections. */
   | { readonly kind: "leave" }
-  /** Takes no new connections and closes idle ones. */
+  /** Stops accepting connections and closes idle ones. */
   | { readonly kind: "close-listener" };
 
-/** What the listener works with. */
+/** Options of the listener. */
 export interface CallerListenerOptions {
   readonly listen: ListenAddress;
   readonly dialect: Dialect;
-  /** Where this VM begins with splits, so that VMs do not all begin alike. */
+  /** Seed of the starting points in weighted splits, so that VMs do not all start with the same service. */
   readonly seed: string;
   readonly path: RequestPath;
-  /** Whether this VM reads what came some time ago. */
+  /** Whether the event loop is delayed, so that input is read long after it arrived. */
   isLate(): boolean;
-  /** Whether this VM surely knows of every key that was taken away longer ago than allowed. */
+  /** Whether this VM knows of every key revocation older than the allowed delay. */
   knowsRevocations(): boolean;
-  /** Asks for the credit of one request of an account that has a quota. */
+  /** Requests quota credit for one request of an account. */
   requestCredit(account: AccountId, done: (credit: Credit) => void): void;
-  /** A request that was granted credit did not run. */
+  /** Refunds the credit of a request that did not run. */
   giveBackCredit(account: AccountId): void;
-  /** Told of answers that no exchange gave. */
+  /** Called for each local reply sent without an exchange; `request` is undefined if the input was malformed. */
   refused(request: CallerRequest | undefined, reason: OwnAnswerReason): void;
-  /** Told of connections that could not be accepted. */
+  /** Called when a connection could not be accepted. */
   notAccepted(err: Error): void;
 }
 
-/** A connection and what is open on it. */
+/** A caller's connection and its open exchanges. */
 interface CallerConnection {
   readonly exchanges: Set<GatewayExchange>;
-  /** The last request that was read from it. */
-  latest: GatewayExchange | undefined;
+  /** The exchange of the request read last; undefined if that request was refused. */
+  latestExchange: GatewayExchange | undefined;
   /**
-   * An answer that ends the connection is out or on its way. What comes after
-   * it is not read: its caller takes it for unread and sends it again, so it must
-   * not reach a target.
+   * Whether a response that closes the connection was sent or is being sent. Later
+   * requests on the connection are ignored: the caller assumes that they were not
+   * read and resends them, so they must not reach a target.
    */
   isEnding: boolean;
 }
 
-/** A configuration with what is computed from it once. */
-interface Compiled {
+/** A configuration with the indexes built from it. */
+interface CompiledConfiguration {
   readonly configuration: RoutingConfiguration;
   readonly index: RouteIndex;
-  /** Undefined where callers need no account. */
+  /** Undefined if callers need no account. */
   readonly accounts: AccountIndex | undefined;
 }
 
-/** Why a request gets no exchange, and when to come back. */
+/** Why a request was refused before an exchange was created, and its Retry-After. */
 type Refusal = Pick<AdmissionRefusal, "reason"> & Partial<AdmissionRefusal>;
 
-/** A split and the weights that it was made from. */
+/** A weighted split and the weights it was built from. */
 interface RouteSplit {
   readonly weights: string;
   readonly split: WeightedSplit;
 }
 
-/** See the module's comment. */
+/** The task that runs the callers' HTTP server. */
 export class CallerListener extends Task<CallerListenerMessage> {
   readonly #options: CallerListenerOptions;
   readonly #admission: AdmissionControl;
   readonly #connections = new Map<Socket, CallerConnection>();
   #splits = new Map<string, RouteSplit>();
   #server: Server | undefined;
-  #compiled: Compiled | undefined;
+  #compiled: CompiledConfiguration | undefined;
   #isLeaving = false;
   #openRequests = 0;
 
@@ -136,43 +135,43 @@
     });
   }
 
-  /** Requests without their final answer. */
+  /** Number of requests without a final response. */
   get openRequests(): number {
     return this.#openRequests;
   }
 
-  /** Version of the configuration in force; 0 where none is. */
+  /** Version of the configuration in force; 0 if there is none. */
   get version(): number {
     return this.#compiled?.configuration.version ?? 0;
   }
 
-  /** The accounts in force; undefined where callers need none. */
+  /** The accounts in force; undefined if callers need none. */
   get accounts(): AccountIndex | undefined {
     return this.#compiled?.accounts;
   }
 
   protected override open(): Promise<void> {
     const server = createServer({
-      maxHeaderSize: HEADER_BYTES,
-      connectionsCheckingInterval: SLOW_CHECK_MS,
-      keepAliveTimeout: IDLE_TIMEOUT_MS + IDLE_GRACE_MS,
-      headersTimeout: HEADER_TIMEOUT_MS,
-      // A body's time is bounded by its route.
+      maxHeaderSize: DEFAULT_HEADER_BYTES,
+      connectionsCheckingInterval: TIMEOUT_CHECK_INTERVAL_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS + IDLE_GRACE_MS,
+      headersTimeout: DEFAULT_HEADER_TIMEOUT_MS,
+      // The route's timeout limits the time for reading a body.
       requestTimeout: 0,
       noDelay: true,
-    }, (req, res) => this.#request(req, res));
-    server.on("connection", (socket) => this.#connected(socket));
+    }, (req, res) => this.#handleRequest(req, res));
+    server.on("connection", (socket) => this.#handleConnection(socket));
     server.on(
       "clientError",
-      (err, socket) => this.#clientError(err, socket as Socket),
+      (err, socket) => this.#handleClientError(err, socket as Socket),
     );
     this.#server = server;
     const { host, port } = this.#options.listen;
     return listen(
       server,
-      { host, port, backlog: BACKLOG },
-      // A connection that could not be accepted, for want of descriptors, is no
-      // reason to cut all others, as a new start of this task would.
+      { host, port, backlog: MAX_PENDING_CONNECTIONS },
+      // If a connection cannot be accepted, for example for lack of file descriptors,
+      // the others must survive; restarting this task would close them.
       (err) => this.#options.notAccepted(err),
     );
   }
@@ -186,7 +185,7 @@
   protected override receive(message: CallerListenerMessage): void {
     switch (message.kind) {
       case "configuration":
-        this.#adopt(message.configuration);
+        this.#applyConfiguration(message.configuration);
         return;
       case "leave":
         this.#isLeaving = true;
@@ -198,29 +197,29 @@
     }
   }
 
-  /** An exchange has its final answer. */
+  /** Called when an exchange has ended. */
   ended(exchange: GatewayExchange): void {
     this.#openRequests -= 1;
     this.#connections.get(exchange.socket)?.exchanges.delete(exchange);
   }
 
-  #adopt(configuration: RoutingConfiguration): void {
+  #applyConfiguration(configuration: RoutingConfiguration): void {
     const { routes, limits, accounts } = configuration;
     this.#compiled = {
       configuration,
       index: new RouteIndex(routes),
       accounts: accounts && new AccountIndex(accounts),
     };
-    const kept = new Map<string, RouteSplit>();
+    const splits = new Map<string, RouteSplit>();
     for (const route of routes) {
-      kept.set(route.name, this.#splitOf(route));
+      splits.set(route.name, this.#splitOf(route));
     }
-    this.#splits = kept;
+    this.#splits = splits;
     const server = this.#server;
     if (server !== undefined) {
       server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_GRACE_MS;
       server.headersTimeout = limits.headerTimeoutMs;
-      // Node reads it for each new connection; its types know it only as an option.
+      // Node reads this property for each new connection; its types declare it only as an option.
       (server as Server & { maxHeaderSize?: number }).maxHeaderSize =
         limits.headerBytes;
     }
@@ -228,34 +227,34 @@
 
   #splitOf(route: Route): RouteSplit {
     const weights = JSON.stringify(route.split);
-    const known = this.#splits.get(route.name);
-    if (known?.weights === weights) {
-      return known;
+    const existing = this.#splits.get(route.name);
+    if (existing?.weights === weights) {
+      return existing;
     }
     const start = hashText(`${this.#options.seed} ${route.name}`) / 2 ** 32;
     return { weights, split: new WeightedSplit(route.split, start) };
   }
 
-  #connected(socket: Socket): void {
+  #handleConnection(socket: Socket): void {
     const connection: CallerConnection = {
       exchanges: new Set(),
-      latest: undefined,
+      latestExchange: undefined,
       isEnding: false,
     };
     this.#connections.set(socket, connection);
-    const left = () => {
+    const onCallerClosed = () => {
       this.#connections.delete(socket);
       for (const exchange of connection.exchanges) {
         exchange.callerClosed();
       }
     };
-    // The server closes its side, too, when a caller has closed its own; by the
-    // time at which both are closed, more requests would have been sent on.
-    socket.once("end", left);
-    socket.once("close", left);
+    // When a caller closes its side, the server closes its own as well. Waiting until
+    // both are closed would send more of the caller's requests to targets.
+    socket.once("end", onCallerClosed);
+    socket.once("close", onCallerClosed);
   }
 
-  #request(req: IncomingMessage, res: ServerResponse): void {
+  #handleRequest(req: IncomingMessage, res: ServerResponse): void {
     res.sendDate = false;
     const connection = this.#connections.get(req.socket);
     if (connection === undefined || connection.isEnding) {
@@ -285,14 +284,14 @@
       refuse(admission.refusal);
       return;
     }
-    // A part of a split is taken last: what is refused before must not count for it.
+    // The split is advanced last, so that refused requests do not count in it.
     const service = this.#splits.get(route.name)?.split.next();
     if (service === undefined) {
       refuse({ reason: "no-route" });
       return;
     }
     const { caller } = admission;
-    this.#exchange({
+    this.#startExchange({
       req,
       res,
       connection,
@@ -304,7 +303,7 @@
     });
   }
 
-  #exchange(parts: {
+  #startExchange(parts: {
     readonly req: IncomingMessage;
     readonly res: ServerResponse;
     readonly connection: CallerConnection;
@@ -312,7 +311,7 @@
     readonly route: Route;
     readonly caller: AdmittedCaller;
     readonly service: ServiceId;
-    readonly compiled: Compiled;
+    readonly compiled: CompiledConfiguration;
   }): void {
     const { connection, compiled, ...options } = parts;
     const exchange = this.#options.path.exchange({
@@ -321,7 +320,7 @@
       version: compiled.configuration.version,
       now: performance.now(),
       endsConnection: (mustEnd) => {
-        const ends = connection.latest === exchange &&
+        const ends = connection.latestExchange === exchange &&
           (mustEnd || this.#isLeaving);
         connection.isEnding ||= ends;
         return ends;
@@ -329,10 +328,10 @@
     });
     this.#openRequests += 1;
     connection.exchanges.add(exchange);
-    const isFirst = connection.latest === undefined;
-    connection.latest = exchange;
+    const isFirst = connection.latestExchange === undefined;
+    connection.latestExchange = exchange;
     if (isFirst || this.#options.isLate()) {
-      startAfterReading(exchange);
+      startAfterPendingReads(exchange);
     } else {
       exchange.start();
     }
@@ -346,17 +345,17 @@
       request?: CallerRequest;
     },
   ): void {
-    // What follows an unread body cannot be told from it.
+    // An unread body cannot be told apart from a following request.
     const closes = request === undefined || request.chunked ||
       request.contentLength > 0;
     connection.isEnding ||= closes;
-    connection.latest = undefined;
-    sendOwnAnswer(res, reason, { retryAfterMs, closes });
+    connection.latestExchange = undefined;
+    sendLocalReply(res, reason, { retryAfterMs, closes });
     this.#options.refused(request, reason);
   }
 
-  /** Input that never became a request: too large, too slow, or not HTTP. */
-  #clientError(err: Error & { code?: string }, socket: Socket): void {
+  /** Handles input that did not become a request: header too large, too slow, or not HTTP. */
+  #handleClientError(err: Error & { code?: string }, socket: Socket): void {
     const connection = this.#connections.get(socket);
     if (
       connection === undefined || !socket.writable || err.code === "ECONNRESET"
@@ -369,32 +368,32 @@
     for (const exchange of connection.exchanges) {
       exchange.bodyMalformed();
     }
-    const answer = `HTTP/1.1 ${statusLineOf(err.code)}\r\n` +
+    const reply = `HTTP/1.1 ${statusLineOf(err.code)}\r\n` +
       "connection: close\r\ncontent-length: 0\r\n\r\n";
     this.#options.refused(undefined, "malformed");
     if (isIdle) {
-      socket.end(answer);
+      socket.end(reply);
       return;
     }
-    // Requests before it still wait for their answers, which come first.
+    // Earlier requests on the connection get their responses before it is closed.
     const timer = setInterval(() => {
       if (connection.exchanges.size === 0 || socket.destroyed) {
         clearInterval(timer);
         socket.end();
       }
-    }, PENDING_CHECK_MS);
+    }, PENDING_CHECK_INTERVAL_MS);
   }
 }
 
 /**
- * Starts an exchange once what came behind its request has been read. On a VM that
- * comes late that may be its caller's close; sent on before, the request would
- * take a slot for nobody, and its target would go on until the close is read. It is
- * the same with the first request of a connection, which may have waited for
- * seconds to be accepted: connections are accepted one a turn of the event loop.
- * The first turn ends the reading under way, the second one reads what came behind.
+ * Starts an exchange after the input that follows its request has been read. If the event
+ * loop is delayed, that input may be the close of the caller's connection: a request
+ * sent before the close is read would occupy a target's slot for no caller. The same
+ * holds for the first request of a connection, which may have waited for seconds to
+ * be accepted, as one connection is accepted per event-loop tick. The first tick
+ * finishes the read in progress, the second one reads the input that follows.
  */
-function startAfterReading(exchange: GatewayExchange): void {
+function startAfterPendingReads(exchange: GatewayExchange): void {
   setImmediate(() => setImmediate(() => exchange.start()));
 }
 
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to targets: one client for each, so that it is always known which
- * request is on which connection.
+ * Pooled HTTP connections to targets. Each connection has an undici client of its
+ * own, so that it is always known which request uses which connection.
  *
  * @module
  */
@@ -12,24 +12,24 @@
 import { Client } from "./undici_client.ts";
 
 /**
- * Longest time for a connection to come about beyond two round trips, in
- * milliseconds. A target accepts within about 1 ms; one that has lost power never
- * answers, and each request sent there waits this long before it can go elsewhere.
+ * Connect timeout beyond two round trips. A target accepts within about 1 ms. A target
+ * that lost power never responds, and each request sent to it waits for this timeout
+ * before it can go to another target.
  */
-const CONNECT_MS = 200;
+const CONNECT_TIMEOUT_MS = 200;
 /**
- * An idle connection is dropped after this long where the target names no
- * timeout, in milliseconds: before targets commonly close it themselves (5 s).
+ * Idle timeout if the target names none: below the 5 s after which targets commonly
+ * close idle connections themselves.
  */
-const IDLE_MS = 4_000;
-/** Longest idle time, whatever the target allows. */
-const IDLE_MOST_MS = 8_000;
-/** Dropped this long before the target's own timeout: whole seconds are named, and a request must not meet the close on the way. */
+const DEFAULT_IDLE_TIMEOUT_MS = 4_000;
+/** Maximum idle timeout, even if the target allows more. */
+const MAX_IDLE_TIMEOUT_MS = 8_000;
+/** Margin below the idle timeout that the target names. The target names whole seconds, and a request in transit must not meet the target's close. */
 const IDLE_MARGIN_MS = 1_500;
-/** Largest header of an answer. */
-const ANSWER_HEADER_BYTES = 65_536;
+/** Maximum size of a response header. */
+const MAX_RESPONSE_HEADER_BYTES = 65_536;
 
-/** Where a connection goes. */
+/** The target to connect to. */
 export interface ConnectionTarget {
   readonly id: TargetId;
   /** `host:port`. */
@@ -37,38 +37,39 @@
   readonly roundTripMs: number;
 }
 
-/** Told what connecting shows. */
+/** Receives connection events. */
 export interface ConnectionListener {
+  /** Connecting to the target took `ms`. */
   connected(target: TargetId, ms: number): void;
 }
 
-/** A connection as an attempt uses it. */
+/** The interface of a connection that an attempt uses. */
 export interface TargetConnection {
   readonly target: TargetId;
-  /** Sends a request; its events go to the handler. */
+  /** Sends a request; the handler receives its events. */
   dispatch(
     req: Dispatcher.DispatchOptions,
     handler: Dispatcher.DispatchHandler,
   ): void;
-  /** Whether the answer that just ended was cut short by the end of the connection. */
+  /** Whether the response that just ended was truncated by the end of the connection. */
   wasCut(isChunked: boolean): boolean;
-  /** Cuts it, so that the target stops its work. */
+  /** Resets the connection, so that the target stops its work. */
   destroy(): void;
 }
 
-/** Where attempts get their connections. */
+/** Provides connections for attempts. */
 export interface ConnectionSource {
-  /** An idle connection or a new one. */
+  /** Returns an idle connection or a new one. */
   take(target: ConnectionTarget): TargetConnection;
-  /** Its request is answered. */
+  /** Returns a connection to the pool after a complete response. */
   giveBack(connection: TargetConnection): void;
-  /** Its request did not come to a whole answer. */
+  /** Discards a connection whose request got no complete response. */
   drop(connection: TargetConnection): void;
-  /** The target is gone. */
+  /** Removes a target that is gone, and closes its idle connections. */
   forget(target: TargetId): void;
 }
 
-/** One connection; serves one request at a time. */
+/** A connection to a target; carries one request at a time. */
 export class Connection implements TargetConnection {
   readonly target: TargetId;
   readonly address: string;
@@ -76,7 +77,7 @@
   #socket: Socket | undefined;
   #isOpen = true;
   #wasReset = false;
-  /** The target has closed its side. */
+  /** Whether the target has closed its side. */
   #hasEnded = false;
 
   constructor(target: ConnectionTarget, options: {
@@ -88,11 +89,11 @@
     this.address = target.address;
     this.#client = new Client(`http://${target.address}`, {
       pipelining: 1,
-      keepAliveTimeout: IDLE_MS,
-      keepAliveMaxTimeout: IDLE_MOST_MS,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT_MS,
       keepAliveTimeoutThreshold: IDLE_MARGIN_MS,
-      maxHeaderSize: ANSWER_HEADER_BYTES,
-      // The exchange has its own deadline; a second set of timers would only cost.
+      maxHeaderSize: MAX_RESPONSE_HEADER_BYTES,
+      // The exchange enforces the deadline; undici's timers would only add overhead.
       headersTimeout: 0,
       bodyTimeout: 0,
       connect: connector(target, {
@@ -109,16 +110,16 @@
   }
 
   /**
-   * Whether the answer that just ended was cut short by the end of the connection.
-   * undici takes an answer whose connection closes for a whole one, also where the
-   * close is a reset, or comes before the last chunk; its caller would get a part
-   * of an answer that looks complete.
+   * Whether the response that just ended was truncated by the end of the connection.
+   * undici treats a response as complete when its connection closes, even by a reset
+   * or before the last chunk; the caller would get a partial response that looks
+   * complete.
    */
   wasCut(isChunked: boolean): boolean {
     return this.#wasReset || (isChunked && this.#hasEnded);
   }
 
-  /** Whether it may carry one more request. */
+  /** Whether the connection can carry another request. */
   get isOpen(): boolean {
     return this.#isOpen;
   }
@@ -131,9 +132,9 @@
   }
 
   /**
-   * Cuts it with a reset. An ordinary close would leave what is not delivered yet
-   * to the kernel, which delivers it once a cut on the way has healed: a target
-   * would get requests whose callers left long ago.
+   * Closes the connection with a reset. After an ordinary close the kernel would still
+   * deliver outstanding data once a network partition has healed, so that a target would
+   * get requests whose callers disconnected long ago.
    */
   destroy(): void {
     this.#isOpen = false;
@@ -142,19 +143,19 @@
   }
 }
 
-/** Connects within a bound and measures how long that takes. */
+/** Creates undici's connect function, which limits and measures the time to connect. */
 function connector(
   target: ConnectionTarget,
   options: {
     localAddress: string;
     listener: ConnectionListener;
-    /** The connection begins to come about. */
+    /** Called when connecting starts. */
     onSocket: (socket: Socket) => void;
     onReset: () => void;
     onEnd: () => void;
   },
 ): NonNullable<ConstructorParameters<typeof Client>[1]>["connect"] {
-  const limitMs = CONNECT_MS + 2 * target.roundTripMs;
+  const limitMs = CONNECT_TIMEOUT_MS + 2 * target.roundTripMs;
   return ({ hostname, port }, callback) => {
     const startedAt = performance.now();
     const socket = connectTcp({
@@ -165,7 +166,10 @@
     });
     options.onSocket(socket);
     const timer = setTimeout(
-      () => socket.destroy(new ConnectTimeoutError("No connection in time")),
+      () =>
+        socket.destroy(
+          new ConnectTimeoutError("connecting to the target timed out"),
+        ),
       limitMs,
     );
     const onError = (err: Error) => {
@@ -176,7 +180,7 @@
     socket.once("connect", () => {
       clearTimeout(timer);
       socket.off("error", onError);
-      // Heard before undici's own listeners, which the callback adds.
+      // Added before the callback adds undici's listeners, so that these run first.
       socket.on("error", options.onReset);
       socket.on("end", options.onEnd);
       options.listener.connected(target.id, performance.now() - startedAt);
@@ -185,7 +189,7 @@
   };
 }
 
-/** Idle connections, and how many are open, by target. */
+/** The pool of connections, by target. */
 export class Connections {
   readonly #localAddress: string;
   readonly #listener: ConnectionListener;
@@ -197,20 +201,24 @@
     this.#listener = options.listener;
   }
 
-  /** An idle connection, the one used last, or a new one. */
+  /** Returns the most recently used idle connection, or a new one. */
   take(target: ConnectionTarget): Connection {
     const idle = this.#idle.get(target.id);
-    for (let one = idle?.pop(); one !== undefined; one = idle?.pop()) {
-      if (one.isOpen && one.address === target.address) {
-        return one;
+    for (
+      let candidate = idle?.pop();
+      candidate !== undefined;
+      candidate = idle?.pop()
+    ) {
+      if (candidate.isOpen && candidate.address === target.address) {
+        return candidate;
       }
-      one.destroy();
+      candidate.destroy();
     }
-    return this.fresh(target);
+    return this.create(target);
   }
 
-  /** A new connection. */
-  fresh(target: ConnectionTarget): Connection {
+  /** Creates a connection. */
+  create(target: ConnectionTarget): Connection {
     const connection = new Connection(target, {
       localAddress: this.#localAddress,
       listener: this.#listener,
@@ -226,13 +234,14 @@
   }
 
   /**
-   * Its request is answered. What the target sends after a whole answer belongs
-   * to no request and makes the client close the connection; so it is offered
-   * again only in a later turn of the event loop, when that has shown.
+   * Returns a connection to the pool after a complete response. Data that a target
+   * sends after the response belongs to no request and makes the client close the
+   * connection. The connection is therefore reused only after an event-loop tick, when
+   * such a close has been noticed.
    */
   giveBack(connection: Connection): void {
     setImmediate(() => {
-      if (!connection.isOpen || !this.#isKnown(connection)) {
+      if (!connection.isOpen || !this.#isTracked(connection)) {
         connection.destroy();
         return;
       }
@@ -245,13 +254,13 @@
     });
   }
 
-  /** Its request did not come to a whole answer. */
+  /** Discards a connection whose request got no complete response. */
   drop(connection: Connection): void {
     connection.destroy();
     this.#closed(connection);
   }
 
-  /** Cuts idle connections to a target that is gone; busy ones go when they are given back. */
+  /** Removes a target that is gone: closes its idle connections now, and busy ones when they are returned. */
   forget(id: TargetId): void {
     for (const connection of this.#idle.get(id) ?? []) {
       connection.destroy();
@@ -268,16 +277,16 @@
     this.#idle.clear();
   }
 
-  #isKnown(connection: Connection): boolean {
+  #isTracked(connection: Connection): boolean {
     return this.#open.get(connection.target)?.has(connection) ?? false;
   }
 
   #closed(connection: Connection): void {
     this.#open.get(connection.target)?.delete(connection);
     const idle = this.#idle.get(connection.target);
-    const at = idle?.indexOf(connection) ?? -1;
-    if (at >= 0) {
-      idle!.splice(at, 1);
+    const index = idle?.indexOf(connection) ?? -1;
+    if (index >= 0) {
+      idle!.splice(index, 1);
     }
   }
 }
--- a/packages/daemon/src/gateway/crash_suspects.ts
+++ b/packages/daemon/src/gateway/crash_suspects.ts
@@ -1,11 +1,11 @@
 /**
- * Requests that coincide with the crash of their targets.
+ * Tracks requests that may crash their targets.
  *
- * A request may crash every target that begins to run it, and its caller sends
- * it again. Without this, one request takes the targets of a service down one
- * after the other; one notices targets that restart with the same request as
- * their last one. A request that broke off on several targets is held back for a
- * while, on all VMs: they tell each other.
+ * A request may crash every target that starts to run it, while its caller keeps
+ * resending it. If it were always sent on, it would take down the targets of a
+ * service one after the other; the symptom is targets that restart after the same
+ * last request. A request whose attempts broke on several crashed targets is held
+ * back for a while on all VMs, which send each other crash reports.
  *
  * @module
  */
@@ -14,37 +14,38 @@
 import type { Buffer } from "node:buffer";
 import type { TargetId } from "@poplarthread/ids";
 
-/** Crashes after which a request is held back. One or two coincide with any request while targets fail for other reasons. */
-const HELD_BACK_AFTER = 3;
-/** How long a crash counts, and a request is held back, in milliseconds. */
-const COUNTS_MS = 30_000;
-/** A crash follows a broken attempt within this time, in milliseconds: the next connection to the target fails, which the next request or a probe shows. */
-const CRASH_FOLLOWS_MS = 1_500;
-/** Digests that are kept; about 100 bytes each. */
-const MOST_DIGESTS = 2_000;
-/** Bytes of a digest, in base64: enough to tell some thousand requests apart. */
+/** Number of crashed targets after which a request is held back. One or two can coincide with any request while targets fail for other reasons. */
+const MIN_CRASHES = 3;
+/** How long a crash counts and a request is held back. */
+const CRASH_TTL_MS = 30_000;
+/** Maximum time from a broken attempt to the crash it is linked to. The crash is detected when the next request or probe fails to connect to the target. */
+const CRASH_WINDOW_MS = 1_500;
+/** Maximum number of digests kept, about 100 bytes each. */
+const MAX_DIGESTS = 2_000;
+/** Length of a digest in base64 characters: enough to distinguish some thousand requests. */
 const DIGEST_CHARACTERS = 12;
 
-/** News of a crash for the other VMs. */
+/** A crash report, as VMs send it to each other. */
 export interface SuspectedCrash {
   readonly digest: string;
   readonly target: TargetId;
 }
 
-/** See the module's comment. Times are milliseconds of the monotonic clock. */
+/** The crash tracker of one VM; see the module comment. Times are milliseconds of the monotonic clock. */
 export class CrashSuspects {
-  readonly #publish: (news: SuspectedCrash) => void;
-  /** When targets crashed, by digest and target: a target counts once. */
-  readonly #broken = new Map<string, Map<TargetId, number>>();
+  readonly #publish: (crash: SuspectedCrash) => void;
+  /** Time of the latest crash, by digest and target, so that each target counts once. */
+  readonly #crashes = new Map<string, Map<TargetId, number>>();
 
-  /** What broke off lately, by target, before it is known whether the target crashed. */
-  readonly #recent = new Map<TargetId, Map<string, number>>();
+  /** Time of recently broken attempts, by target and digest, until a crash of the target is detected. */
+  readonly #recentFailures = new Map<TargetId, Map<string, number>>();
 
-  constructor(publish: (news: SuspectedCrash) => void) {
+  /** `publish` sends a crash report to the other VMs. */
+  constructor(publish: (crash: SuspectedCrash) => void) {
     this.#publish = publish;
   }
 
-  /** Names a request by what a repeat has in common with it. */
+  /** Returns a digest of method, URL and body, which is equal for repeats of a request. */
   digestOf(method: string, url: string, body: Buffer | undefined): string {
     const hash = createHash("sha1").update(`${method} ${url}\n`);
     if (body !== undefined) {
@@ -53,47 +54,52 @@
     return hash.digest("base64").slice(0, DIGEST_CHARACTERS);
   }
 
-  /** An attempt of this VM broke off. That alone says nothing: connections are reset for many reasons. */
-  broke(digest: string | undefined, target: TargetId, now: number): void {
+  /** Records that an attempt of this VM broke. This alone proves no crash: connections are reset for many reasons. */
+  attemptBroke(
+    digest: string | undefined,
+    target: TargetId,
+    now: number,
+  ): void {
     if (digest === undefined) {
       return;
     }
-    const recent = this.#recent.get(target) ?? new Map<string, number>();
+    const recent = this.#recentFailures.get(target) ??
+      new Map<string, number>();
     recent.set(digest, now);
-    this.#recent.set(target, recent);
+    this.#recentFailures.set(target, recent);
   }
 
-  /** A target crashed; what broke off on it just before may be why. */
-  crashed(target: TargetId, now: number): void {
-    for (const [digest, at] of this.#recent.get(target) ?? []) {
-      if (now - at < CRASH_FOLLOWS_MS) {
+  /** Links a crash of a target to the attempts that broke on it shortly before. */
+  targetCrashed(target: TargetId, now: number): void {
+    for (const [digest, brokeAt] of this.#recentFailures.get(target) ?? []) {
+      if (now - brokeAt < CRASH_WINDOW_MS) {
         this.heard({ digest, target }, now);
         this.#publish({ digest, target });
       }
     }
-    this.#recent.delete(target);
+    this.#recentFailures.delete(target);
   }
 
-  /** A crash that any VM has seen. */
+  /** Records a crash that was detected by this VM or reported by another one. */
   heard({ digest, target }: SuspectedCrash, now: number): void {
-    const targets = this.#broken.get(digest) ?? new Map<TargetId, number>();
-    this.#broken.delete(digest);
+    const targets = this.#crashes.get(digest) ?? new Map<TargetId, number>();
+    this.#crashes.delete(digest);
     targets.set(target, now);
-    this.#broken.set(digest, targets);
-    if (this.#broken.size > MOST_DIGESTS) {
-      const [oldest] = this.#broken.keys();
-      this.#broken.delete(oldest!);
+    this.#crashes.set(digest, targets);
+    if (this.#crashes.size > MAX_DIGESTS) {
+      const [oldest] = this.#crashes.keys();
+      this.#crashes.delete(oldest!);
     }
   }
 
-  /** For how long the request is held back, in milliseconds; 0 where it may run. */
+  /** How much longer the request is held back; 0 if it may run. */
   heldBackMs(digest: string, now: number): number {
-    const targets = this.#broken.get(digest);
-    if (targets === undefined || targets.size < HELD_BACK_AFTER) {
+    const targets = this.#crashes.get(digest);
+    if (targets === undefined || targets.size < MIN_CRASHES) {
       return 0;
     }
     const times = [...targets.values()].toSorted((a, b) => b - a);
-    const counted = times[HELD_BACK_AFTER - 1]!;
-    return Math.max(0, counted + COUNTS_MS - now);
+    const decidingAt = times[MIN_CRASHES - 1]!;
+    return Math.max(0, decidingAt + CRASH_TTL_MS - now);
   }
 }
--- a/packages/daemon/src/gateway/crash_suspects_test.ts
+++ b/packages/daemon/src/gateway/crash_suspects_test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that crash their targets.
+ * Tests of the tracking of requests that crash their targets.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 const targets = ["t-1", "t-2", "t-3"] as TargetId[];
 
 describe("a request that crashes each target", () => {
-  test("is held back on all VMs after three", () => {
-    // A draft trips a fault in the portal: each target that begins to render it
-    // ends, and its reader reloads the page, at any VM. Without this, one reader
-    // takes the service down target by target.
+  test("is held back on all VMs after three crashes", () => {
+    // A page triggers a fault that crashes every target which renders it, and the
+    // reader reloads it through any VM. If the request is not held back, one reader
+    // takes down the service target by target.
     const vms: CrashSuspects[] = [];
-    const publish = (news: SuspectedCrash) =>
-      vms.forEach((vm) => vm.heard(news, 0));
+    const publish = (crash: SuspectedCrash) =>
+      vms.forEach((vm) => vm.heard(crash, 0));
     vms.push(new CrashSuspects(publish), new CrashSuspects(publish));
     const digest = vms[0]!.digestOf("GET", "/read/a", undefined);
-    targets.forEach((target, at) => {
-      const vm = vms[at % 2]!;
-      expect(vms.map((one) => one.heldBackMs(digest, 0))).toEqual([0, 0]);
-      vm.broke(digest, target, 0);
-      vm.crashed(target, 100);
+    targets.forEach((target, index) => {
+      const vm = vms[index % 2]!;
+      expect(vms.map((each) => each.heldBackMs(digest, 0))).toEqual([0, 0]);
+      vm.attemptBroke(digest, target, 0);
+      vm.targetCrashed(target, 100);
     });
     for (const vm of vms) {
       expect(vm.heldBackMs(digest, 200)).toBeGreaterThan(1_000);
@@ -32,7 +32,7 @@
     }
   });
 
-  test("is told from others by method, path and body", () => {
+  test("is distinguished from others by method, path and body", () => {
     const suspects = new CrashSuspects(() => undefined);
     const digests = new Set([
       suspects.digestOf("GET", "/a", undefined),
@@ -45,23 +45,23 @@
 });
 
 describe("a request whose connections are reset", () => {
-  test("is not held back while its targets live", () => {
-    // A network fault resets every second connection. A popular page is on many of
-    // them; held back for that, nobody could read it any more.
+  test("is not held back while its targets do not crash", () => {
+    // A network fault resets every second connection. A popular page is affected by
+    // many of these resets; if it were held back for them, no one could read it.
     const suspects = new CrashSuspects(() => undefined);
     const digest = suspects.digestOf("GET", "/read/a", undefined);
     for (const target of targets) {
-      suspects.broke(digest, target, 0);
+      suspects.attemptBroke(digest, target, 0);
     }
     expect(suspects.heldBackMs(digest, 100)).toBe(0);
   });
 
-  test("is not blamed for a crash that comes much later", () => {
+  test("is not linked to a crash much later", () => {
     const suspects = new CrashSuspects(() => undefined);
     const digest = suspects.digestOf("GET", "/read/a", undefined);
     for (const target of targets) {
-      suspects.broke(digest, target, 0);
-      suspects.crashed(target, 5_000);
+      suspects.attemptBroke(digest, target, 0);
+      suspects.targetCrashed(target, 5_000);
     }
     expect(suspects.heldBackMs(digest, 5_000)).toBe(0);
   });
--- a/packages/daemon/src/gateway/emulation.ts
+++ b/packages/daemon/src/gateway/emulation.ts
@@ -1,6 +1,6 @@
 /**
- * The parts of a gateway that run without sockets, for programs that play them
- * in virtual time.
+ * Exports the parts of the gateway that run without sockets, for simulations in
+ * virtual time.
  *
  * @module
  */
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -1,9 +1,9 @@
 /**
- * One request of a caller, from its header to its final answer.
+ * The handling of one caller request, from its header to its final response.
  *
- * An exchange ends exactly once for its caller; whatever it hears after that, it
- * passes over. A request that may run at most once is never sent again after a
- * byte of it was written, unless its target says that it did not run it.
+ * An exchange ends exactly once for its caller and ignores every later event. An
+ * at-most-once request is never sent again after a byte of it was written, unless
+ * the target reports that it did not run the request.
  *
  * @module
  */
@@ -23,7 +23,7 @@
 import type { AdmissionRefusal, AdmittedCaller } from "./accounts/admission.ts";
 import { AttemptRecord } from "./attempt_record.ts";
 import { type AttemptReportServices, reportAttempt } from "./attempt_report.ts";
-import { CallerReply, type EndsConnection } from "./caller_reply.ts";
+import { CallerResponse, type EndsConnection } from "./caller_response.ts";
 import type { Route } from "./configuration.ts";
 import {
   type ExchangePhase,
@@ -43,18 +43,18 @@
 /** How an exchange ended, for logs and metrics. */
 export type GatewayExchangeEnd = "answered" | "caller-gone" | OwnAnswerReason;
 
-/** What an exchange works with; one object for all exchanges of a VM. */
+/** Dependencies of an exchange; one object is shared by all exchanges of a VM. */
 export interface GatewayExchangeServices
   extends AttemptReportServices, StartAttemptServices {
   readonly wheel: DeadlineWheel;
   readonly queue: RequestQueue;
-  /** Called once for each exchange, when its caller has its final answer. */
+  /** Called once per exchange, when its caller has the final response or has disconnected. */
   ended(exchange: GatewayExchange, end: GatewayExchangeEnd): void;
-  /** Called once for each attempt. */
+  /** Called once per attempt. */
   attemptEnded(end: TargetAttemptEnd["kind"]): void;
 }
 
-/** A request as the listener took it in. */
+/** A request as accepted by the listener. */
 export interface GatewayExchangeOptions {
   readonly req: IncomingMessage;
   readonly res: ServerResponse;
@@ -63,27 +63,27 @@
   readonly caller: AdmittedCaller;
   readonly service: ServiceId;
   readonly bodyBytes: number;
-  /** Version of the configuration that it is handled by. */
+  /** Version of the configuration that the request is handled under. */
   readonly version: number;
   readonly now: number;
   readonly endsConnection: EndsConnection;
 }
 
-/** What is logged of an attempt. */
+/** The logged details of an attempt. */
 export interface AttemptSummary {
   readonly target: TargetId;
   readonly durationMs: number;
   readonly end: TargetAttemptEnd["kind"];
-  /** The load that the target reported with its answer. */
+  /** The load that the target reported with its response, if any. */
   readonly load: LoadReport | undefined;
 }
 
-/** A retry is worth its place in the budget only with this much time left, in milliseconds: about one warm service time. */
-const RETRY_LEAST_MS = 120;
-/** Time that the answer needs on its way back to the caller, in milliseconds. */
-const ON_THE_WAY_MS = 5;
+/** Minimum time left for a retry to be worth spending retry budget: about one service time on a warm target. */
+const MIN_RETRY_TIME_MS = 120;
+/** Part of the caller's deadline reserved for the response to travel back. */
+const RESPONSE_TRANSIT_MS = 5;
 
-/** See the module's comment. */
+/** The state of one request; see the module comment. */
 export class GatewayExchange
   implements Expiring, TargetAttemptOwner, BodyListener, Placeable {
   readonly request: CallerRequest;
@@ -98,21 +98,21 @@
   readonly #services: GatewayExchangeServices;
   readonly #options: GatewayExchangeOptions;
   readonly #req: IncomingMessage;
-  readonly #reply: CallerReply;
-  readonly #record = new AttemptRecord();
+  readonly #response: CallerResponse;
+  readonly #attempts = new AttemptRecord();
   #phase: ExchangePhase = "reading";
-  /** It was counted for its account's quota. */
-  #isCounted = false;
+  /** Whether the request has been counted against its account's quota. */
+  #isCountedForQuota = false;
   #body: RequestBody | undefined;
   #attempt: TargetAttempt | undefined;
-  /** Whether the target of the attempt was taken to keep the object. */
+  /** Whether the target of the current attempt was expected to hold the object in its cache. */
   #warmth: Warmth = "unknown";
-  /** The last failure that a target answered; the caller gets it if nothing better comes. */
-  #failure: { answer: TargetAnswer; body: Buffer } | undefined;
+  /** The latest error response of a target; sent to the caller if no retry succeeds. */
+  #failedResponse: { response: TargetAnswer; body: Buffer } | undefined;
   #digest: string | undefined;
-  #sentAt: number | undefined;
+  #firstSentAt: number | undefined;
   #retryAfterMs: number | undefined;
-  #last: AttemptSummary | undefined;
+  #lastAttempt: AttemptSummary | undefined;
 
   constructor(
     services: GatewayExchangeServices,
@@ -121,7 +121,7 @@
     const { request, route, now } = options;
     this.#services = services;
     this.#req = options.req;
-    this.#reply = new CallerReply(options.res, options.endsConnection);
+    this.#response = new CallerResponse(options.res, options.endsConnection);
     this.#options = options;
     this.request = request;
     this.route = route;
@@ -130,16 +130,16 @@
     this.startedAt = now;
     this.priority = options.caller.rank;
     this.aimAt = now + route.aimMs;
-    const patience = request.deadlineMs === undefined
+    const timeoutMs = request.deadlineMs === undefined
       ? route.timeoutMs
-      : Math.min(request.deadlineMs - ON_THE_WAY_MS, route.timeoutMs);
-    this.expiresAt = now + Math.max(1, patience);
+      : Math.min(request.deadlineMs - RESPONSE_TRANSIT_MS, route.timeoutMs);
+    this.expiresAt = now + Math.max(1, timeoutMs);
     this.object = route.hasAffinity && request.object !== undefined
       ? hashText(`${route.host}${route.prefix}${request.object}`)
       : undefined;
   }
 
-  /** The client account that sent it; undefined where nobody asked. */
+  /** The client account that sent the request; undefined if callers are not identified. */
   get account(): AccountId | undefined {
     return this.#options.caller.account;
   }
@@ -149,27 +149,27 @@
     return this.#req.socket;
   }
 
-  /** Attempts that were written to a target. */
+  /** Number of attempts that were written to a target. */
   get attempts(): number {
-    return this.#record.written;
+    return this.#attempts.written;
   }
 
-  /** The attempt that ended last. */
+  /** The attempt that ended most recently. */
   get lastAttempt(): AttemptSummary | undefined {
-    return this.#last;
+    return this.#lastAttempt;
   }
 
-  /** When its caller was told to come back, in milliseconds; undefined where it was not. */
+  /** The Retry-After sent to the caller; undefined if none was sent. */
   get retryAfterMs(): number | undefined {
     return this.#retryAfterMs;
   }
 
-  /** How long it waited here before it was first sent, in milliseconds. */
+  /** Time until the first attempt, or until now if there was none. */
   get waitedMs(): number {
-    return (this.#sentAt ?? performance.now()) - this.startedAt;
+    return (this.#firstSentAt ?? performance.now()) - this.startedAt;
   }
 
-  /** Takes the request in, unless its caller has left before. */
+  /** Starts handling the request, unless its caller has already disconnected. */
   start(): void {
     if (this.#phase !== "reading") {
       return;
@@ -182,7 +182,7 @@
         this.startedAt,
       );
       if (!RequestBody.announcedBy(this.request)) {
-        this.#ready();
+        this.#bodyComplete();
         return;
       }
       this.#body = new RequestBody(this.#req, {
@@ -195,20 +195,20 @@
   }
 
   bodyReady(): void {
-    this.#guarded(() => this.#ready());
+    this.#guarded(() => this.#bodyComplete());
   }
 
   bodyTooLarge(): void {
-    this.#guarded(() => this.#answer("body-too-large"));
+    this.#guarded(() => this.#replyLocally("body-too-large"));
   }
 
-  /** What the caller sends as its body cannot be read, and its end cannot be known. */
+  /** The caller's input cannot be parsed, so the end of a body in progress is unknown. */
   bodyMalformed(): void {
-    // One that has no body is whole, also if it was not started yet: what cannot be
-    // read came behind it.
+    // A request without a body is complete, even if not started yet: the malformed
+    // input follows it.
     const hasBody = RequestBody.announcedBy(this.request);
     if (hasBody && this.#phase === "reading") {
-      this.#guarded(() => this.#answer("malformed"));
+      this.#guarded(() => this.#replyLocally("malformed"));
     }
   }
 
@@ -216,85 +216,85 @@
     return this.#guarded(() => this.#place(now, ahead)) ?? false;
   }
 
-  /** The caller's connection is closed. */
+  /** The caller has closed its connection. */
   callerClosed(): void {
     this.#guarded(() => {
-      if (this.#enter("end")) {
-        this.#finished("caller-gone");
+      if (this.#transition("end")) {
+        this.#finish("caller-gone");
       }
     });
   }
 
-  /** Its time has passed. */
+  /** The request's deadline has passed. */
   expire(): void {
     this.#guarded(() => {
       if (this.#phase === "reading") {
-        this.#answer("slow-body");
-      } else if (this.#failure !== undefined) {
-        this.#deliver(this.#failure.answer, this.#failure.body);
-      } else if (this.#record.mayHaveRun) {
-        this.#answer("timeout");
+        this.#replyLocally("slow-body");
+      } else if (this.#failedResponse !== undefined) {
+        this.#deliver(this.#failedResponse.response, this.#failedResponse.body);
+      } else if (this.#attempts.mayHaveRun) {
+        this.#replyLocally("timeout");
       } else {
-        this.#answer("expired-unsent", RETRY_LEAST_MS);
+        this.#replyLocally("expired-unsent", MIN_RETRY_TIME_MS);
       }
     });
   }
 
-  attemptWrites(attempt: TargetAttempt, now: number): boolean {
+  attemptWriting(attempt: TargetAttempt, now: number): boolean {
     if (this.#attempt !== attempt) {
       return false;
     }
     return this.#guarded(() => {
-      this.#record.writes();
+      this.#attempts.writing();
       this.#body?.markFlowing();
       this.#services.steering.written(attempt.target, now);
       return true;
     }) ?? false;
   }
 
-  attemptStreams(
+  attemptStreaming(
     attempt: TargetAttempt,
-    answer: TargetAnswer,
-    first: Buffer,
+    response: TargetAnswer,
+    firstChunk: Buffer,
   ): boolean {
     if (this.#attempt !== attempt) {
       return true;
     }
     return this.#guarded(() => {
-      if (!this.#reply.begin(answer)) {
-        this.#answer("broken");
+      if (!this.#response.writeHead(response)) {
+        this.#replyLocally("broken");
         return true;
       }
-      this.#enter("stream");
-      // Another answer is out in part: this one cannot be given any more.
-      this.#failure = undefined;
-      return this.#reply.piece(first, () => attempt.resume());
+      this.#transition("stream");
+      // This response has been partly sent, so the earlier error response must not follow.
+      this.#failedResponse = undefined;
+      return this.#response.writeChunk(firstChunk, () => attempt.resume());
     }) ?? true;
   }
 
-  attemptPiece(attempt: TargetAttempt, piece: Buffer): boolean {
+  attemptChunk(attempt: TargetAttempt, chunk: Buffer): boolean {
     if (this.#attempt !== attempt || this.#phase !== "streaming") {
       return true;
     }
     return this.#guarded(() =>
-      this.#reply.piece(piece, () => attempt.resume())
+      this.#response.writeChunk(chunk, () => attempt.resume())
     ) ?? true;
   }
 
   attemptEnded(attempt: TargetAttempt, end: TargetAttemptEnd): void {
     this.#guarded(() => {
       const now = performance.now();
-      this.#report(attempt, end, now);
+      this.#reportEnd(attempt, end, now);
       if (this.#attempt === attempt) {
         this.#attempt = undefined;
-        this.#handle(end, now);
+        this.#handleAttemptEnd(end, now);
       }
-      this.#services.queue.pump(this.service, now);
+      this.#services.queue.placeWaiting(this.service, now);
     });
   }
 
-  #ready(): void {
-    if (!this.#enter("count")) {
+  #bodyComplete(): void {
+    if (!this.#transition("count")) {
       return;
     }
     this.#digest = this.#services.suspects.digestOf(
@@ -307,28 +307,28 @@
       this.startedAt,
     );
     if (heldMs > 0) {
-      this.#answer("refused-by-targets", heldMs);
+      this.#replyLocally("refused-by-targets", heldMs);
       return;
     }
     this.#options.caller.count((refusal) =>
-      this.#guarded(() => this.#counted(refusal))
+      this.#guarded(() => this.#quotaChecked(refusal))
     );
   }
 
-  /** It was counted for its account's quota. */
-  #counted(refusal: AdmissionRefusal | undefined): void {
+  /** Handles the result of counting the request against its account's quota. */
+  #quotaChecked(refusal: AdmissionRefusal | undefined): void {
     if (refusal !== undefined) {
       this.#giveUp(refusal.reason, refusal.retryAfterMs);
-    } else if (this.#enter("queue")) {
-      this.#isCounted = true;
+    } else if (this.#transition("queue")) {
+      this.#isCountedForQuota = true;
       this.#services.queue.add(this, performance.now());
     } else {
-      // Its caller left while it was counted.
+      // The caller disconnected while the quota was being checked.
       this.#options.caller.uncount();
     }
   }
 
-  /** True if it waits on. */
+  /** Tries to place the request; returns true if it has to keep waiting. */
   #place(now: number, ahead: number): boolean {
     if (this.#phase !== "waiting") {
       return false;
@@ -346,7 +346,7 @@
       regions: this.#options.caller.regions,
       arrivedAt: this.startedAt,
       answerBy: this.expiresAt,
-      tried: this.#record.tried,
+      tried: this.#attempts.tried,
     }, { now, ahead });
     switch (decision.kind) {
       case "send":
@@ -361,12 +361,12 @@
     }
   }
 
-  #report(attempt: TargetAttempt, end: TargetAttemptEnd, now: number): void {
-    this.#last = {
+  #reportEnd(attempt: TargetAttempt, end: TargetAttemptEnd, now: number): void {
+    this.#lastAttempt = {
       target: attempt.target,
       durationMs: now - attempt.startedAt,
       end: end.kind,
-      load: "answer" in end ? end.answer.load : undefined,
+      load: "response" in end ? end.response.load : undefined,
     };
     this.#services.attemptEnded(end.kind);
     reportAttempt(this.#services, attempt, {
@@ -380,90 +380,90 @@
     });
   }
 
-  #handle(end: TargetAttemptEnd, now: number): void {
+  #handleAttemptEnd(end: TargetAttemptEnd, now: number): void {
     switch (end.kind) {
       case "answered":
-        this.#answered(end.answer, end.body, now);
+        this.#handleResponse(end.response, end.body, now);
         return;
       case "not-run":
-        this.#record.didNotRun();
-        this.#again(now);
+        this.#attempts.didNotRun();
+        this.#retry(now);
         return;
       case "unreachable":
-        this.#record.didNotConnect();
-        if (this.#record.isOutOfReach) {
-          this.#refuse("no-target", RETRY_LEAST_MS);
+        this.#attempts.didNotConnect();
+        if (this.#attempts.hasTooManyFailedConnects) {
+          this.#refuse("no-target", MIN_RETRY_TIME_MS);
           return;
         }
         this.#requeue(now);
         return;
       case "broke":
-        this.#broke(now);
+        this.#handleBroken(now);
         return;
       case "abandoned":
         return;
     }
   }
 
-  #answered(answer: TargetAnswer, body: Buffer, now: number): void {
+  #handleResponse(response: TargetAnswer, body: Buffer, now: number): void {
     if (this.#phase === "streaming") {
-      this.#reply.end();
-      this.#enter("end");
-      this.#finished("answered");
+      this.#response.end();
+      this.#transition("end");
+      this.#finish("answered");
       return;
     }
-    if (answer.status >= 500 && this.route.repeat === "idempotent") {
-      this.#failure = { answer, body };
-      this.#record.failed();
-      this.#again(now);
+    if (response.status >= 500 && this.route.repeat === "idempotent") {
+      this.#failedResponse = { response, body };
+      this.#attempts.failed();
+      this.#retry(now);
       return;
     }
-    this.#deliver(answer, body);
+    this.#deliver(response, body);
   }
 
-  #broke(now: number): void {
+  #handleBroken(now: number): void {
     if (this.#phase === "streaming" || this.route.repeat === "at-most-once") {
-      this.#answer("broken");
+      this.#replyLocally("broken");
       return;
     }
-    this.#record.failed();
-    this.#again(now);
+    this.#attempts.failed();
+    this.#retry(now);
   }
 
-  /** Sends it once more where that is allowed and can still be in time. */
-  #again(now: number): void {
+  /** Retries the request if that is allowed and can still finish in time. */
+  #retry(now: number): void {
     const { steering } = this.#services;
-    const isAllowed = this.#record.written < this.route.maxAttempts &&
-      this.expiresAt - now > RETRY_LEAST_MS &&
+    const isAllowed = this.#attempts.written < this.route.maxAttempts &&
+      this.expiresAt - now > MIN_RETRY_TIME_MS &&
       (this.#body?.available ?? true) &&
       steering.spendRetry(this.service, now);
     if (isAllowed) {
       this.#requeue(now);
     } else {
-      this.#giveUp("refused-by-targets", RETRY_LEAST_MS);
+      this.#giveUp("refused-by-targets", MIN_RETRY_TIME_MS);
     }
   }
 
-  /** It is not sent any more: its caller gets what a target answered, or a refusal. */
+  /** Stops trying: the caller gets the latest error response of a target, or a refusal. */
   #giveUp(reason: OwnAnswerReason, retryAfterMs: number | undefined): void {
-    if (this.#failure !== undefined) {
-      this.#deliver(this.#failure.answer, this.#failure.body);
+    if (this.#failedResponse !== undefined) {
+      this.#deliver(this.#failedResponse.response, this.#failedResponse.body);
     } else {
       this.#refuse(reason, retryAfterMs);
     }
   }
 
   #requeue(now: number): void {
-    if (this.#enter("queue")) {
+    if (this.#transition("queue")) {
       this.#services.queue.add(this, now);
     }
   }
 
   #send(target: TargetId, now: number): void {
     const { steering } = this.#services;
-    this.#record.tried.add(target);
-    this.#enter("send");
-    this.#sentAt ??= now;
+    this.#attempts.tried.add(target);
+    this.#transition("send");
+    this.#firstSentAt ??= now;
     steering.sent(target, now);
     startAttempt(this, this.#services, {
       target,
@@ -477,61 +477,62 @@
     });
   }
 
-  #deliver(answer: TargetAnswer, body: Buffer): void {
+  #deliver(response: TargetAnswer, body: Buffer): void {
     if (this.#phase === "done") {
       return;
     }
-    if (!this.#reply.whole(answer, body)) {
-      this.#failure = undefined;
+    if (!this.#response.sendComplete(response, body)) {
+      this.#failedResponse = undefined;
       this.#handleUnframed();
       return;
     }
-    this.#enter("end");
-    this.#finished("answered");
+    this.#transition("end");
+    this.#finish("answered");
   }
 
-  /** The answer would end a connection on which further requests wait for theirs. */
+  /** Handles a response without framing that would close a connection on which pipelined requests still wait. */
   #handleUnframed(): void {
     if (this.route.repeat === "idempotent") {
-      this.#record.failed();
-      this.#again(performance.now());
+      this.#attempts.failed();
+      this.#retry(performance.now());
     } else {
-      this.#answer("broken");
+      this.#replyLocally("broken");
     }
   }
 
-  /** Refuses it, which promises that it has not run; where nobody knows that, it failed instead. */
+  /** Refuses the request, which promises that it did not run; replies `broken` if it may have run. */
   #refuse(reason: OwnAnswerReason, retryAfterMs: number | undefined): void {
-    if (this.#record.mayHaveRun) {
-      this.#answer("broken");
+    if (this.#attempts.mayHaveRun) {
+      this.#replyLocally("broken");
     } else {
-      this.#answer(reason, retryAfterMs);
+      this.#replyLocally(reason, retryAfterMs);
     }
   }
 
-  #answer(reason: OwnAnswerReason, retryAfterMs?: number): void {
+  #replyLocally(reason: OwnAnswerReason, retryAfterMs?: number): void {
     const isStreaming = this.#phase === "streaming";
-    if (!this.#enter("end")) {
+    if (!this.#transition("end")) {
       return;
     }
     if (isStreaming) {
-      // Part of the answer is out: it must not look complete.
-      this.#reply.cut();
-      this.#finished("broken");
+      // Part of the response has been sent; it must not look complete.
+      this.#response.destroy();
+      this.#finish("broken");
       return;
     }
     this.#retryAfterMs = retryAfterMs;
-    const leavesBody = this.#body !== undefined && !this.#body.complete;
-    this.#reply.own(reason, { retryAfterMs, leavesBody });
-    this.#finished(reason);
+    const leavesBodyUnread = this.#body !== undefined && !this.#body.complete;
+    this.#response.replyLocally(reason, { retryAfterMs, leavesBodyUnread });
+    this.#finish(reason);
   }
 
   /**
-   * Takes a step if its phase allows it. Whatever leaves an attempt behind breaks
-   * that attempt off: its target would work for nobody, and its end would be taken
-   * for that of the phase that follows.
+   * Moves to the next phase; returns false if the current phase does not allow the
+   * step. Every phase but `streaming` abandons the current attempt: otherwise its
+   * target would keep working for no caller, and the end of the attempt would be
+   * mistaken for that of a later one.
    */
-  #enter(step: ExchangeStep): boolean {
+  #transition(step: ExchangeStep): boolean {
     const next = phaseAfter(this.#phase, step);
     if (next === undefined) {
       return false;
@@ -545,9 +546,9 @@
     return true;
   }
 
-  /** What follows the end, whose answer is out. */
-  #finished(end: GatewayExchangeEnd): void {
-    if (this.#isCounted && !this.#record.mayHaveRun) {
+  /** Cleans up and reports the end, after the final response was written. */
+  #finish(end: GatewayExchangeEnd): void {
+    if (this.#isCountedForQuota && !this.#attempts.mayHaveRun) {
       this.#options.caller.uncount();
     }
     this.#services.wheel.delete(this);
@@ -557,34 +558,34 @@
   }
 
   /**
-   * Does what an event asks for. A fault in it ends this exchange alone: thrown
-   * into a socket's event, it would end the process, and the callers of all other
-   * requests would see their connections reset.
+   * Runs an event handler so that an exception ends only this exchange. Thrown
+   * from a socket event, it would end the process and reset the connections of all
+   * other callers.
    */
   #guarded<T>(work: () => T): T | undefined {
     try {
       return work();
     } catch (err) {
-      this.#fail(err);
+      this.#handleFault(err);
       return undefined;
     }
   }
 
-  #fail(err: unknown): void {
+  #handleFault(err: unknown): void {
     this.#services.log.write("exchange failed", {
       request: this.request.requestId,
       reason: err instanceof Error ? err.stack ?? err.message : messageOf(err),
     });
     try {
-      this.#answer("broken");
-    } catch (second) {
-      // Its answer was begun before, so it cannot be given: only a cut is true.
+      this.#replyLocally("broken");
+    } catch (secondErr) {
+      // The response header was already written, so no error can be sent: close the connection.
       this.#services.log.write("exchange failed", {
         request: this.request.requestId,
-        reason: messageOf(second),
+        reason: messageOf(secondErr),
       });
-      this.#reply.cut();
-      this.#finished("broken");
+      this.#response.destroy();
+      this.#finish("broken");
     }
   }
 }
--- a/packages/daemon/src/gateway/exchange_world.ts
+++ b/packages/daemon/src/gateway/exchange_harness.ts
@@ -1,6 +1,6 @@
 /**
- * A world of one exchange, for tests: a caller's connection, a steering that
- * does as it is told, and targets whose events the test plays one by one.
+ * Test harness for one exchange: a fake caller connection, a fake steering whose
+ * decisions the test sets, and fake targets whose events the test triggers.
  *
  * @module
  */
@@ -29,102 +29,102 @@
 
 const SERVICE = "portal" as ServiceId;
 const REQUEST_ID = "r-1";
-/** Time that the route gives a request, in milliseconds. */
+/** Timeout of the route. */
 const TIMEOUT_MS = 1_000;
 
-/** What a target's answer says. */
-export interface PlayedAnswer {
+/** The response of a fake target. */
+export interface FakeResponse {
   readonly status: number;
   readonly notRun?: boolean;
-  /** Neither a length nor chunks: its connection's end is its own. */
+  /** The response has neither a length nor chunks, and ends with its connection. */
   readonly isUnframed?: boolean;
 }
 
-/** One sending of the request, as its target sees it. */
-export class PlayedSending {
+/** One attempt, as its target sees it. */
+export class FakeAttempt {
   readonly #handler: Dispatcher.DispatchHandler;
   isWritten = false;
-  isCut = false;
-  isOver = false;
+  isAborted = false;
+  hasEnded = false;
 
   constructor(handler: Dispatcher.DispatchHandler) {
     this.#handler = handler;
   }
 
-  /** Neither answered nor broken off. */
+  /** Whether the attempt has neither ended nor been aborted. */
   get isOpen(): boolean {
-    return !this.isOver && !this.isCut;
+    return !this.hasEnded && !this.isAborted;
   }
 
-  /** undici writes the request. */
+  /** Writes the request, as undici does. */
   write(): void {
     try {
-      this.#handler.onConnect!(() => this.isCut = true);
+      this.#handler.onConnect!(() => this.isAborted = true);
       this.isWritten = true;
     } catch {
-      // undici takes what its handler throws here for a request that is not wanted.
+      // undici aborts the request if its handler throws here.
       this.fail();
     }
   }
 
-  /** A whole answer of `bytes` comes. */
-  answer(answer: PlayedAnswer, bytes = 4): void {
-    const raw = [Buffer.from(JSON.stringify(answer))];
-    this.#handler.onHeaders!(answer.status, raw, () => undefined, "");
+  /** Sends a complete response with a body of `bytes`. */
+  respond(response: FakeResponse, bytes = 4): void {
+    const raw = [Buffer.from(JSON.stringify(response))];
+    this.#handler.onHeaders!(response.status, raw, () => undefined, "");
     this.#handler.onData!(Buffer.alloc(bytes));
-    if (!this.isCut) {
-      this.isOver = true;
+    if (!this.isAborted) {
+      this.hasEnded = true;
       this.#handler.onComplete!([]);
     }
   }
 
-  /** Answers begin, and nothing more comes. */
-  begin(bytes: number): void {
+  /** Begins a response with `bytes` of its body, without ending it. */
+  beginResponse(bytes: number): void {
     const raw = [Buffer.from(JSON.stringify({ status: 200 }))];
     this.#handler.onHeaders!(200, raw, () => undefined, "");
     this.#handler.onData!(Buffer.alloc(bytes));
   }
 
-  /** Its connection breaks off. */
+  /** Breaks the connection. */
   fail(): void {
-    this.isOver = true;
+    this.hasEnded = true;
     this.#handler.onError!(new Error("other side closed"));
   }
 }
 
-/** What the test sets. */
-export interface ExchangeWorldOptions {
+/** Options of a harness. */
+export interface ExchangeHarnessOptions {
   readonly repeat: Route["repeat"];
-  /** The caller sent further requests on its connection, which wait for their answers. */
+  /** Whether the caller has pipelined further requests on its connection. */
   readonly isPipelined?: boolean;
 }
 
-/** See the module's comment. */
-export class ExchangeWorld {
+/** One exchange with fakes around it; see the module comment. */
+export class ExchangeHarness {
   readonly exchange: GatewayExchange;
-  /** Sendings in their order. */
-  readonly sendings: PlayedSending[] = [];
+  /** Attempts in order. */
+  readonly attempts: FakeAttempt[] = [];
   readonly ends: GatewayExchangeEnd[] = [];
-  /** Events of the log, by name. */
-  readonly logged: string[] = [];
-  /** Statuses that the caller got; more than one is a fault. */
+  /** Names of the logged events. */
+  readonly loggedEvents: string[] = [];
+  /** Status codes that the caller received; more than one is a fault. */
   readonly statuses: number[] = [];
-  /** Whether the caller's connection was cut. */
-  isCut = false;
-  /** What the steering decides next. */
+  /** Whether the caller's connection was destroyed. */
+  isDestroyed = false;
+  /** The next decision of the steering. */
   decision: PlacementDecision["kind"] = "send";
-  /** Why the caller may not have the request run any more. */
+  /** Why the caller is no longer admitted; undefined while it is. */
   refusal: AdmissionRefusal | undefined;
-  /** Tells that the request was counted for its account; undefined until it asks. */
-  counted: Parameters<AdmittedCaller["count"]>[0] | undefined;
-  /** How often it was taken back that the request was counted. */
+  /** Callback that ends the quota check; undefined until the check is requested. */
+  onCounted: Parameters<AdmittedCaller["count"]>[0] | undefined;
+  /** How often the request was uncounted. */
   uncounted = 0;
-  /** Thrown by the steering instead of a decision. */
+  /** If set, the steering throws this error instead of making a decision. */
   fault: Error | undefined;
   readonly #wheel = new DeadlineWheel(performance.now());
   readonly #queue = new RequestQueue();
 
-  constructor({ repeat, isPipelined = false }: ExchangeWorldOptions) {
+  constructor({ repeat, isPipelined = false }: ExchangeHarnessOptions) {
     const log = new EventLog(this.#log());
     const route = routeWith(repeat);
     this.exchange = new GatewayExchange({
@@ -140,7 +140,7 @@
       log,
       ended: (_exchange, end) => this.ends.push(end),
       attemptEnded: () => undefined,
-      limitNamed: () => undefined,
+      limitReported: () => undefined,
     }, {
       req: Object.assign(new EventEmitter(), {
         url: "/x",
@@ -164,7 +164,7 @@
       caller: {
         ...anonymous(route),
         recheck: () => this.refusal,
-        count: (done) => this.counted = done,
+        count: (done) => this.onCounted = done,
         uncount: () => this.uncounted += 1,
       },
       service: SERVICE,
@@ -175,35 +175,35 @@
     });
   }
 
-  /** The newest sending that is neither answered nor broken off. */
-  get openSending(): PlayedSending | undefined {
-    return this.sendings.findLast(({ isOpen }) => isOpen);
+  /** The latest attempt that has neither ended nor been aborted. */
+  get openAttempt(): FakeAttempt | undefined {
+    return this.attempts.findLast(({ isOpen }) => isOpen);
   }
 
-  /** The request is taken in, and counted at once. */
+  /** Starts the exchange; the quota check passes at once. */
   start(): void {
     this.exchange.start();
-    this.counted!(undefined);
+    this.onCounted!(undefined);
   }
 
-  /** Looks which deadlines have passed. */
+  /** Expires passed deadlines. */
   checkDeadlines(): void {
     this.#wheel.advance(performance.now());
   }
 
-  /** Waiting requests are looked at. */
-  pump(): void {
-    this.#queue.pumpAll(performance.now());
+  /** Tries to place waiting requests. */
+  placeWaiting(): void {
+    this.#queue.placeAllWaiting(performance.now());
   }
 
   #steering(): Steering {
-    const nothing = () => undefined;
+    const noop = () => undefined;
     return {
-      arrived: nothing,
-      sent: nothing,
-      written: nothing,
-      ended: nothing,
-      unreachable: nothing,
+      arrived: noop,
+      sent: noop,
+      written: noop,
+      ended: noop,
+      unreachable: noop,
       roundTripTo: () => 1,
       spendRetry: () => true,
       place: () => this.#decide(),
@@ -231,16 +231,16 @@
 
   #connections(): Connections {
     const take = (): Partial<Connection> => {
-      let sending: PlayedSending | undefined;
+      let attempt: FakeAttempt | undefined;
       return {
         dispatch: (_req, handler) => {
-          sending = new PlayedSending(handler);
-          this.sendings.push(sending);
+          attempt = new FakeAttempt(handler);
+          this.attempts.push(attempt);
         },
         wasCut: () => false,
         destroy: () => {
-          if (sending !== undefined) {
-            sending.isCut = true;
+          if (attempt !== undefined) {
+            attempt.isAborted = true;
           }
         },
       };
@@ -249,7 +249,7 @@
     return { take, giveBack: nothing, drop: nothing } as unknown as Connections;
   }
 
-  /** Refuses a second header, as Node's own does. */
+  /** Throws on a second header, as Node's response does. */
   #response(): ServerResponse {
     const writeHead = (status: number) => {
       if (this.statuses.push(status) > 1) {
@@ -261,13 +261,13 @@
       write: () => true,
       end: () => undefined,
       once: () => undefined,
-      destroy: () => this.isCut = true,
+      destroy: () => this.isDestroyed = true,
     } as unknown as ServerResponse;
   }
 
   #log(): Log {
     const write = (event: string, _fields: LogFields) => {
-      this.logged.push(event);
+      this.loggedEvents.push(event);
     };
     return {
       error: write,
@@ -302,19 +302,19 @@
   };
 }
 
-/** Answers are their own description, as JSON in the first header line. */
+/** Reads a {@link FakeResponse} from JSON in the first raw header. */
 const DIALECT = {
   attemptLines: () => [],
   readAnswer: (status: number, raw: readonly Uint8Array[]): TargetAnswer => {
-    const played = JSON.parse(String(raw[0])) as PlayedAnswer;
+    const fake = JSON.parse(String(raw[0])) as FakeResponse;
     return {
       status,
       lines: [],
-      contentLength: played.isUnframed ? -1 : 4,
+      contentLength: fake.isUnframed ? -1 : 4,
       isChunked: false,
       requestId: REQUEST_ID,
       isStamped: true,
-      notRun: played.notRun ?? false,
+      notRun: fake.notRun ?? false,
       isOtherTarget: false,
       isLeaving: false,
       restMs: 0,
--- a/packages/daemon/src/gateway/exchange_phase.ts
+++ b/packages/daemon/src/gateway/exchange_phase.ts
@@ -1,32 +1,32 @@
 /**
- * The phases of an exchange, and which steps lead from one to another.
+ * The phases of an exchange and the transitions between them.
  *
- * An exchange hears from its caller, its targets, its deadline and the waiting
- * room in any order, also after it has ended. A step that its phase does not
- * allow is not taken, so that none of them can answer a caller twice.
+ * Events of the caller, the targets, the deadline and the wait queue reach an
+ * exchange in any order, even after it has ended. A step that the current phase does
+ * not allow is rejected, so that no event can make a caller get two responses.
  *
  * @module
  */
 
-/** Where an exchange stands. */
+/** Phase of an exchange. */
 export type ExchangePhase =
-  /** Its body is being read. */
+  /** The request body is being read. */
   | "reading"
-  /** It waits until it is counted for its account's quota. */
+  /** The request is being counted against its account's quota. */
   | "counting"
-  /** It waits for a target. */
+  /** The request waits for a target. */
   | "waiting"
-  /** An attempt is on its way. */
+  /** An attempt is in progress. */
   | "sent"
-  /** Its answer is being handed over in pieces. */
+  /** The response is being streamed to the caller. */
   | "streaming"
-  /** Its caller has its final answer, or is gone. */
+  /** The caller has the final response, or has disconnected. */
   | "done";
 
-/** What may happen to it next. */
+/** Step from one phase to another. */
 export type ExchangeStep = "count" | "queue" | "send" | "stream" | "end";
 
-const NEXT: Readonly<
+const TRANSITIONS: Readonly<
   Record<ExchangePhase, Readonly<Partial<Record<ExchangeStep, ExchangePhase>>>>
 > = {
   reading: { count: "counting", end: "done" },
@@ -37,10 +37,10 @@
   done: {},
 };
 
-/** The phase after a step; undefined where the step must not be taken. */
+/** The phase after a step; undefined if the phase does not allow the step. */
 export function phaseAfter(
   phase: ExchangePhase,
   step: ExchangeStep,
 ): ExchangePhase | undefined {
-  return NEXT[phase][step];
+  return TRANSITIONS[phase][step];
 }
--- a/packages/daemon/src/gateway/exchange_test.ts
+++ b/packages/daemon/src/gateway/exchange_test.ts
@@ -1,17 +1,17 @@
 import fc from "fast-check";
 import { afterEach, beforeEach, describe, expect, test, vi } from "vitest";
-import { ExchangeWorld } from "./exchange_world.ts";
+import { ExchangeHarness } from "./exchange_harness.ts";
 
-/** More than an attempt holds back until it is whole, in bytes. */
+/** Larger than the responses that an attempt buffers. */
 const STREAMED_BYTES = 300_000;
 
-/** Longer than the route of the world gives a request, in milliseconds. */
-const TOO_LONG_MS = 1_050;
+/** Longer than the timeout of the harness's route. */
+const PAST_TIMEOUT_MS = 1_050;
 
-/** The request's time passes. */
-function expire(world: ExchangeWorld): void {
-  vi.advanceTimersByTime(TOO_LONG_MS);
-  world.checkDeadlines();
+/** Lets the request's deadline pass. */
+function expire(harness: ExchangeHarness): void {
+  vi.advanceTimersByTime(PAST_TIMEOUT_MS);
+  harness.checkDeadlines();
 }
 
 beforeEach(() => {
@@ -23,188 +23,187 @@
 });
 
 describe("an exchange", () => {
-  // A target fails a read, which is sent to a second target. The read's time
-  // passes before that one answers, so its caller gets the failure that is
-  // there. Then the second target's connection breaks. If its end answered the
-  // caller once more, the process would end with all its requests.
-  test("answers once when its time passes during a second attempt", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.start();
-    world.sendings[0]!.write();
-    world.sendings[0]!.answer({ status: 500 });
-    world.sendings[1]!.write();
-    expire(world);
-    expect(world.statuses).toEqual([500]);
-    expect(world.sendings[1]!.isCut).toBe(true);
-    world.sendings[1]!.fail();
-    expect(world.statuses).toEqual([500]);
-    expect(world.ends).toEqual(["answered"]);
+  // A target responds 500 to a read, which is retried at a second target. The
+  // deadline passes during the second attempt, so the caller gets the 500. Then the
+  // second target's connection breaks: replying once more would throw and end the
+  // process with all its requests.
+  test("responds once when its deadline passes during a second attempt", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.start();
+    harness.attempts[0]!.write();
+    harness.attempts[0]!.respond({ status: 500 });
+    harness.attempts[1]!.write();
+    expire(harness);
+    expect(harness.statuses).toEqual([500]);
+    expect(harness.attempts[1]!.isAborted).toBe(true);
+    harness.attempts[1]!.fail();
+    expect(harness.statuses).toEqual([500]);
+    expect(harness.ends).toEqual(["answered"]);
   });
 
-  // A target fails a read, and a second one begins a large answer that does not
-  // come to its end in time. The failure that is kept must not follow the header of
-  // that answer; the caller gets a connection that ends early.
-  test("cuts an answer that does not end in time, whatever it kept", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.start();
-    world.sendings[0]!.write();
-    world.sendings[0]!.answer({ status: 500 });
-    world.sendings[1]!.write();
-    world.sendings[1]!.begin(STREAMED_BYTES);
-    expire(world);
-    expect(world.statuses).toEqual([200]);
-    expect(world.isCut).toBe(true);
-    expect(world.ends).toEqual(["broken"]);
+  // A target responds 500 to a read, and a second one begins a large response that
+  // does not end before the deadline. The stored 500 must not follow the header of
+  // that response; the caller's connection is destroyed instead.
+  test("destroys the connection when a streamed response does not end in time, despite a stored error response", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.start();
+    harness.attempts[0]!.write();
+    harness.attempts[0]!.respond({ status: 500 });
+    harness.attempts[1]!.write();
+    harness.attempts[1]!.beginResponse(STREAMED_BYTES);
+    expire(harness);
+    expect(harness.statuses).toEqual([200]);
+    expect(harness.isDestroyed).toBe(true);
+    expect(harness.ends).toEqual(["broken"]);
   });
 
-  // A fault in the code that places one request throws. Unguarded, it ends the
-  // process, and every caller of the VM loses its request.
-  test("ends by itself where its own code fails, and says so in the log", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.fault = new Error("a fault");
-    world.start();
-    expect(world.statuses).toEqual([502]);
-    expect(world.ends).toEqual(["broken"]);
-    expect(world.logged).toContain("exchange failed");
+  // The code that places one request throws. Uncaught, the exception would end the
+  // process, and every caller of the VM would lose its request.
+  test("replies 502 and logs the error when its own code throws", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.fault = new Error("a fault");
+    harness.start();
+    expect(harness.statuses).toEqual([502]);
+    expect(harness.ends).toEqual(["broken"]);
+    expect(harness.loggedEvents).toContain("exchange failed");
   });
 
-  // The same while an attempt is on its way: its target must not go on working
-  // for nobody.
-  test("breaks its attempt off where its own code fails", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.start();
-    world.sendings[0]!.write();
-    world.fault = new Error("a fault");
-    world.sendings[0]!.answer({ status: 500 });
-    expect(world.statuses).toEqual([502]);
-    expect(world.openSending).toBeUndefined();
+  // The same during an attempt: its target must not keep working for no caller.
+  test("abandons its attempt when its own code throws", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.start();
+    harness.attempts[0]!.write();
+    harness.fault = new Error("a fault");
+    harness.attempts[0]!.respond({ status: 500 });
+    expect(harness.statuses).toEqual([502]);
+    expect(harness.openAttempt).toBeUndefined();
   });
 
-  // A key is taken away while a request by it waits; it would run for somebody who
-  // has no right to it any more.
-  test("that waits is refused as not run once its key is not known to hold", () => {
-    const world = new ExchangeWorld({ repeat: "at-most-once" });
-    world.decision = "wait";
-    world.start();
-    world.refusal = { reason: "accounts-unknown", retryAfterMs: 250 };
-    world.decision = "send";
-    world.pump();
-    expect(world.sendings).toEqual([]);
-    expect(world.statuses).toEqual([503]);
+  // A key is revoked while a request with that key waits. Sent on, the request would
+  // run for a caller that is no longer authorized.
+  test("that waits is refused as not run once its key can no longer be verified", () => {
+    const harness = new ExchangeHarness({ repeat: "at-most-once" });
+    harness.decision = "wait";
+    harness.start();
+    harness.refusal = { reason: "accounts-unknown", retryAfterMs: 250 };
+    harness.decision = "send";
+    harness.placeWaiting();
+    expect(harness.attempts).toEqual([]);
+    expect(harness.statuses).toEqual([503]);
   });
 
   // The same between two attempts.
-  test("is not sent again once its key is not known to hold", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.start();
-    world.sendings[0]!.write();
-    world.refusal = { reason: "unauthenticated", retryAfterMs: undefined };
-    world.sendings[0]!.answer({ status: 500 });
-    expect(world.sendings).toHaveLength(1);
-    expect(world.statuses).toEqual([500]);
+  test("is not retried once its key is no longer valid", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.start();
+    harness.attempts[0]!.write();
+    harness.refusal = { reason: "unauthenticated", retryAfterMs: undefined };
+    harness.attempts[0]!.respond({ status: 500 });
+    expect(harness.attempts).toHaveLength(1);
+    expect(harness.statuses).toEqual([500]);
   });
 
-  // An account goes beyond its quota: sent on while it is being counted, the request
+  // An account exceeds its quota. If the request were sent during the quota check, it
   // would run all the same.
-  test("is not sent before it is counted, nor beyond its account's quota", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.exchange.start();
-    world.pump();
-    expect(world.sendings).toEqual([]);
-    world.counted!({ reason: "over-quota", retryAfterMs: 400 });
-    expect(world.sendings).toEqual([]);
-    expect(world.statuses).toEqual([429]);
+  test("is not sent before the quota check, nor beyond its account's quota", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.exchange.start();
+    harness.placeWaiting();
+    expect(harness.attempts).toEqual([]);
+    harness.onCounted!({ reason: "over-quota", retryAfterMs: 400 });
+    expect(harness.attempts).toEqual([]);
+    expect(harness.statuses).toEqual([429]);
   });
 
-  // Its caller leaves while it is counted; its target would work for nobody.
-  test("is not sent where its caller leaves while it is counted", () => {
-    const world = new ExchangeWorld({ repeat: "idempotent" });
-    world.exchange.start();
-    world.exchange.callerClosed();
-    world.counted!(undefined);
-    expect(world.sendings).toEqual([]);
-    expect(world.ends).toEqual(["caller-gone"]);
-    expect(world.uncounted).toBe(1);
+  // The caller disconnects during the quota check; a target would work for no caller.
+  test("is not sent if its caller disconnects during the quota check", () => {
+    const harness = new ExchangeHarness({ repeat: "idempotent" });
+    harness.exchange.start();
+    harness.exchange.callerClosed();
+    harness.onCounted!(undefined);
+    expect(harness.attempts).toEqual([]);
+    expect(harness.ends).toEqual(["caller-gone"]);
+    expect(harness.uncounted).toBe(1);
   });
 
-  // Its account would lose a part of its quota to a request that nobody ran.
-  test("gives its count back where it never ran, and only then", () => {
-    const refused = new ExchangeWorld({ repeat: "idempotent" });
+  // Otherwise the account would lose quota to a request that did not run.
+  test("is uncounted from the quota if it never ran, and only then", () => {
+    const refused = new ExchangeHarness({ repeat: "idempotent" });
     refused.decision = "refuse";
     refused.start();
     expect(refused.uncounted).toBe(1);
-    const answered = new ExchangeWorld({ repeat: "idempotent" });
+    const answered = new ExchangeHarness({ repeat: "idempotent" });
     answered.start();
-    answered.sendings[0]!.write();
-    answered.sendings[0]!.answer({ status: 200 });
+    answered.attempts[0]!.write();
+    answered.attempts[0]!.respond({ status: 200 });
     expect(answered.uncounted).toBe(0);
   });
 
-  const act = fc.constantFrom<(world: ExchangeWorld) => void>(
-    (world) => world.openSending?.write(),
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.answer({ status: 200 });
+  const event = fc.constantFrom<(harness: ExchangeHarness) => void>(
+    (harness) => harness.openAttempt?.write(),
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.respond({ status: 200 });
       }
     },
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.answer({ status: 200 }, STREAMED_BYTES);
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.respond({ status: 200 }, STREAMED_BYTES);
       }
     },
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.begin(STREAMED_BYTES);
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.beginResponse(STREAMED_BYTES);
       }
     },
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.answer({ status: 500 });
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.respond({ status: 500 });
       }
     },
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.answer({ status: 500, isUnframed: true });
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.respond({ status: 500, isUnframed: true });
       }
     },
-    (world) => {
-      if (world.openSending?.isWritten) {
-        world.openSending.answer({ status: 503, notRun: true });
+    (harness) => {
+      if (harness.openAttempt?.isWritten) {
+        harness.openAttempt.respond({ status: 503, notRun: true });
       }
     },
-    (world) => world.openSending?.fail(),
-    (world) => world.sendings[0]?.fail(),
+    (harness) => harness.openAttempt?.fail(),
+    (harness) => harness.attempts[0]?.fail(),
     expire,
-    (world) => world.exchange.callerClosed(),
-    (world) => world.pump(),
-    (world) => world.exchange.bodyMalformed(),
-    (world) => world.exchange.bodyTooLarge(),
-    (world) => world.decision = "wait",
-    (world) => world.decision = "send",
-    (world) => world.decision = "refuse",
-    (world) => world.fault = new Error("a fault"),
-    (world) =>
-      world.refusal = { reason: "accounts-unknown", retryAfterMs: 250 },
+    (harness) => harness.exchange.callerClosed(),
+    (harness) => harness.placeWaiting(),
+    (harness) => harness.exchange.bodyMalformed(),
+    (harness) => harness.exchange.bodyTooLarge(),
+    (harness) => harness.decision = "wait",
+    (harness) => harness.decision = "send",
+    (harness) => harness.decision = "refuse",
+    (harness) => harness.fault = new Error("a fault"),
+    (harness) =>
+      harness.refusal = { reason: "accounts-unknown", retryAfterMs: 250 },
   );
 
-  // Whatever comes in whatever order: one answer, one end, no open attempt behind
-  // it, and nothing thrown into the event loop.
+  // For any events in any order: at most one response, exactly one end, no attempt
+  // left open, and no exception thrown into the event loop.
   test("ends exactly once in any order of events", () => {
     fc.assert(
       fc.property(
         fc.constantFrom("idempotent" as const, "at-most-once" as const),
         fc.boolean(),
-        fc.array(act, { maxLength: 12 }),
-        (repeat, isPipelined, acts) => {
-          const world = new ExchangeWorld({ repeat, isPipelined });
-          world.start();
-          acts.forEach((one) => one(world));
-          expire(world);
-          expect(world.statuses.length).toBeLessThanOrEqual(1);
-          expect(world.ends).toHaveLength(1);
-          expect(world.openSending).toBeUndefined();
-          if (world.ends[0] === "answered") {
-            expect(world.statuses).toHaveLength(1);
+        fc.array(event, { maxLength: 12 }),
+        (repeat, isPipelined, events) => {
+          const harness = new ExchangeHarness({ repeat, isPipelined });
+          harness.start();
+          events.forEach((apply) => apply(harness));
+          expire(harness);
+          expect(harness.statuses.length).toBeLessThanOrEqual(1);
+          expect(harness.ends).toHaveLength(1);
+          expect(harness.openAttempt).toBeUndefined();
+          if (harness.ends[0] === "answered") {
+            expect(harness.statuses).toHaveLength(1);
           }
         },
       ),
@@ -212,17 +211,17 @@
     );
   });
 
-  // An order that may have reached a target is never sent again.
-  test("writes an order at most once unless its target says that it did not run", () => {
+  // An at-most-once request that may have reached a target must never be sent again.
+  test("writes an at-most-once request only once unless its target reports that it did not run", () => {
     fc.assert(
-      fc.property(fc.array(act, { maxLength: 12 }), (acts) => {
-        const world = new ExchangeWorld({ repeat: "at-most-once" });
-        world.start();
-        const refusesOnly = acts.filter((one) =>
-          !String(one).includes("notRun")
+      fc.property(fc.array(event, { maxLength: 12 }), (events) => {
+        const harness = new ExchangeHarness({ repeat: "at-most-once" });
+        harness.start();
+        const withoutNotRun = events.filter((apply) =>
+          !String(apply).includes("notRun")
         );
-        refusesOnly.forEach((one) => one(world));
-        const written = world.sendings.filter(({ isWritten }) => isWritten);
+        withoutNotRun.forEach((apply) => apply(harness));
+        const written = harness.attempts.filter(({ isWritten }) => isWritten);
         expect(written.length).toBeLessThanOrEqual(1);
       }),
       { numRuns: 1_000 },
--- a/packages/daemon/src/gateway/health_prober.ts
+++ b/packages/daemon/src/gateway/health_prober.ts
@@ -1,7 +1,8 @@
 /**
- * Asks targets that were taken out whether they are back.
+ * Probes targets that were taken out of use, to find out whether they are healthy
+ * again.
  *
- * Each question takes a new connection: the old ones may be what is broken.
+ * Each probe uses a new connection, because the existing ones may be broken.
  *
  * @module
  */
@@ -11,16 +12,16 @@
 import type { Connections, ConnectionTarget } from "./connections.ts";
 import type { Dialect, HealthAnswer } from "./ports.ts";
 
-/** Longest wait for the answer beyond two round trips, in milliseconds; a question waits for a slot like any request. */
-const ANSWER_MS = 900;
+/** Response timeout of a probe beyond two round trips. A probe waits for a slot of the target like any request. */
+const RESPONSE_TIMEOUT_MS = 900;
 
-/** What the prober works with. */
+/** Options of the prober. */
 export interface HealthProberOptions {
   readonly connections: Connections;
   readonly dialect: Dialect;
 }
 
-/** See the module's comment. */
+/** Sends health probes; see the module comment. */
 export class HealthProber {
   readonly #options: HealthProberOptions;
 
@@ -28,14 +29,14 @@
     this.#options = options;
   }
 
-  /** Asks one target; rejects where it does not answer. */
+  /** Probes one target; rejects if it does not respond. */
   probe(target: ConnectionTarget, path: string): Promise<HealthAnswer> {
     const { connections, dialect } = this.#options;
-    const connection = connections.fresh(target);
+    const connection = connections.create(target);
     return new Promise<HealthAnswer>((resolve, reject) => {
       const timer = setTimeout(
-        () => reject(new ProbeTimeoutError("No answer in time")),
-        ANSWER_MS + 2 * target.roundTripMs,
+        () => reject(new ProbeTimeoutError("health probe timed out")),
+        RESPONSE_TIMEOUT_MS + 2 * target.roundTripMs,
       );
       const handler: Dispatcher.DispatchHandler = {
         onConnect: () => undefined,
--- a/packages/daemon/src/gateway/lookup_listener.ts
+++ b/packages/daemon/src/gateway/lookup_listener.ts
@@ -1,6 +1,6 @@
 /**
- * Answers callers that ask which VMs to connect to, and the platform that asks
- * whether this VM is ready.
+ * The HTTP server for callers' look-ups of the VMs to connect to, and for the
+ * platform's readiness checks of this VM.
  *
  * @module
  */
@@ -16,18 +16,19 @@
 import type { Dialect, LookupQuestion } from "./ports.ts";
 import type { ListenAddress } from "./settings.ts";
 
-/** What the listener works with. */
+/** Options of the listener. */
 export interface LookupListenerOptions {
   readonly listen: readonly ListenAddress[];
   readonly dialect: Dialect;
-  /** Callers' addresses of the VMs to use, and how long the answer may be kept. */
+  /** Returns the caller addresses of the VMs to use, and how long the response may be cached. */
   lookup(
-    question: LookupQuestion,
+    query: LookupQuestion,
   ): { readonly addresses: readonly string[]; readonly ttlMs: number };
+  /** Whether this VM is ready to serve callers. */
   isReady(): boolean;
 }
 
-/** See the module's comment. */
+/** The task that runs the look-up servers. */
 export class LookupListener extends Task<never> {
   readonly #options: LookupListenerOptions;
   readonly #servers: Server[] = [];
@@ -39,7 +40,7 @@
 
   protected override async open(): Promise<void> {
     await Promise.all(this.#options.listen.map((address) => {
-      const server = createServer((req, res) => this.#answer(req, res));
+      const server = createServer((req, res) => this.#handleRequest(req, res));
       this.#servers.push(server);
       return listen(server, address, (err) => this.fail(err));
     }));
@@ -54,7 +55,7 @@
     }
   }
 
-  #answer(req: IncomingMessage, res: ServerResponse): void {
+  #handleRequest(req: IncomingMessage, res: ServerResponse): void {
     const { dialect } = this.#options;
     const url = req.url ?? "";
     if (dialect.isReadinessQuestion(url)) {
@@ -65,13 +66,13 @@
       res.end();
       return;
     }
-    const question = dialect.readLookup(url);
-    if (question === undefined) {
+    const query = dialect.readLookup(url);
+    if (query === undefined) {
       res.writeHead(404, ["content-length", "0"]);
       res.end();
       return;
     }
-    const { addresses, ttlMs } = this.#options.lookup(question);
+    const { addresses, ttlMs } = this.#options.lookup(query);
     if (addresses.length === 0) {
       res.writeHead(503, ["content-length", "0"]);
       res.end();
--- a/packages/daemon/src/gateway/loop_delay.ts
+++ b/packages/daemon/src/gateway/loop_delay.ts
@@ -1,38 +1,35 @@
 /**
- * Whether this VM comes late to what it has to do.
+ * Detects delays of the event loop.
  *
- * Answers a VM that is short of processor time: slowed down, suspended for a
- * while, or with more requests than it can read. What it reads then is old, and
- * what follows it on the same connection, such as its caller's close, is not read
- * yet.
+ * The event loop is delayed on a VM that is short of processor time, was suspended
+ * for a while, or receives more requests than it can read. Input is then read long
+ * after it arrived, while later input on the same connection, such as the caller's
+ * close, is still unread.
  *
  * @module
  */
 
-/**
- * A tick that comes this much too late, in milliseconds, shows it. A sound VM is
- * late by some milliseconds.
- */
-const LATE_MS = 100;
+/** A tick later than this shows a delay. On a healthy VM ticks are late by a few milliseconds. */
+const LATE_THRESHOLD_MS = 100;
 
-/** Follows a tick that should come at known times, in milliseconds of the monotonic clock. */
+/** Compares the ticks of a timer with their due times, in milliseconds of the monotonic clock. */
 export class LoopDelay {
   #dueAt: number;
   #lateMs = 0;
 
-  /** The first tick is due at `dueAt`. */
+  /** `dueAt` is the due time of the first tick. */
   constructor(dueAt: number) {
     this.#dueAt = dueAt;
   }
 
-  /** The tick has come; the next one is due in `nextMs`. */
+  /** Records a tick; the next one is due in `nextMs`. */
   ticked(now: number, nextMs: number): void {
     this.#lateMs = now - this.#dueAt;
     this.#dueAt = now + nextMs;
   }
 
-  /** Whether the last tick came late, or the next one does. */
+  /** Whether the last tick was late or the next one is overdue. */
   isLate(now: number): boolean {
-    return Math.max(this.#lateMs, now - this.#dueAt) > LATE_MS;
+    return Math.max(this.#lateMs, now - this.#dueAt) > LATE_THRESHOLD_MS;
   }
 }
--- a/packages/daemon/src/gateway/loop_delay_test.ts
+++ b/packages/daemon/src/gateway/loop_delay_test.ts
@@ -3,7 +3,7 @@
 
 const PERIOD_MS = 20;
 
-test("ticks in time are not late", () => {
+test("reports no delay while ticks are on time", () => {
   const delay = new LoopDelay(PERIOD_MS);
   for (let now = PERIOD_MS; now < 1_000; now += PERIOD_MS + 3) {
     delay.ticked(now, PERIOD_MS);
@@ -11,7 +11,7 @@
   }
 });
 
-test("a tick that is long due is late, and so is what follows it", () => {
+test("reports a delay while a tick is overdue, and until the next tick on time", () => {
   const delay = new LoopDelay(PERIOD_MS);
   expect(delay.isLate(300)).toBe(true);
   delay.ticked(300, PERIOD_MS);
@@ -20,7 +20,7 @@
   expect(delay.isLate(325)).toBe(false);
 });
 
-test("a tick that was announced for later is not late before", () => {
+test("reports no delay before a tick with a longer period is overdue", () => {
   const delay = new LoopDelay(PERIOD_MS);
   delay.ticked(PERIOD_MS, 100);
   expect(delay.isLate(PERIOD_MS + 190)).toBe(false);
--- a/packages/daemon/src/gateway/own_answer.ts
+++ b/packages/daemon/src/gateway/own_answer.ts
@@ -1,34 +1,34 @@
 /**
- * Answers that the gateway gives itself.
+ * Local replies: responses that the gateway makes itself instead of a target.
  *
  * @module
  */
 
 import type { ServerResponse } from "node:http";
 
-/** Why a request gets an answer of the gateway's own. */
+/** Why a request gets a local reply. */
 export type OwnAnswerReason =
-  /** No configuration is known here yet. */
+  /** This VM knows no configuration yet. */
   | "not-ready"
-  /** No account holds the key that it was sent by, or it was sent by none. */
+  /** The request has no key, or one that belongs to no account. */
   | "unauthenticated"
-  /** Its account and its route have no region in common. */
+  /** The account and the route have no region in common. */
   | "not-allowed"
-  /** What is known here of the accounts may be too old to know which keys are valid. */
+  /** This VM's account data may be too old to tell which keys are valid. */
   | "accounts-unknown"
-  /** Its account has used up its quota. */
+  /** The account has used up its quota. */
   | "over-quota"
-  /** No target of the service may be used. */
+  /** No target of the service is usable. */
   | "no-target"
-  /** It would get its answer too late. */
+  /** The response would come too late. */
   | "overload"
-  /** Its time passed before it was sent to a target. */
+  /** The deadline passed before the request was sent to a target. */
   | "expired-unsent"
-  /** Targets refused it, and it may not be sent again. */
+  /** Targets refused the request, and it may not be retried. */
   | "refused-by-targets"
-  /** Its time passed after it was sent to a target. */
+  /** The deadline passed after the request was sent to a target. */
   | "timeout"
-  /** A target may have run it, and no whole answer came. */
+  /** A target may have run the request, but no complete response arrived. */
   | "broken"
   | "no-route"
   | "malformed"
@@ -36,10 +36,10 @@
   | "slow-body";
 
 /**
- * Statuses. 503, 429 and 408 promise that the request has not run and never will;
- * 502 and 504 promise nothing.
+ * HTTP status codes. 503, 429 and 408 promise that the request has not run and never
+ * will; 502 and 504 promise nothing.
  */
-const STATUS: Readonly<Record<OwnAnswerReason, number>> = {
+const STATUS_CODES: Readonly<Record<OwnAnswerReason, number>> = {
   "not-ready": 503,
   "unauthenticated": 401,
   "not-allowed": 403,
@@ -57,27 +57,27 @@
   "slow-body": 408,
 };
 
-/** The status of an answer of the gateway's own. */
+/** The HTTP status code of a local reply. */
 export function statusOf(reason: OwnAnswerReason): number {
-  return STATUS[reason];
+  return STATUS_CODES[reason];
 }
 
-/** Sends such an answer. */
-export function sendOwnAnswer(
+/** Sends a local reply; `closes` if it closes the caller's connection. */
+export function sendLocalReply(
   res: ServerResponse,
   reason: OwnAnswerReason,
   options: { retryAfterMs: number | undefined; closes: boolean },
 ): void {
-  const lines = ["content-length", "0"];
+  const headers = ["content-length", "0"];
   if (options.retryAfterMs !== undefined) {
-    lines.push("retry-after", (options.retryAfterMs / 1_000).toFixed(3));
+    headers.push("retry-after", (options.retryAfterMs / 1_000).toFixed(3));
   }
   if (reason === "unauthenticated") {
-    lines.push("www-authenticate", "Bearer");
+    headers.push("www-authenticate", "Bearer");
   }
   if (options.closes) {
-    lines.push("connection", "close");
+    headers.push("connection", "close");
   }
-  res.writeHead(STATUS[reason], lines);
+  res.writeHead(STATUS_CODES[reason], headers);
   res.end();
 }
--- a/packages/daemon/src/gateway/request_log.ts
+++ b/packages/daemon/src/gateway/request_log.ts
@@ -1,5 +1,5 @@
 /**
- * One line for each request that has its final answer.
+ * The request log: one line for each request that has ended.
  *
  * @module
  */
@@ -8,25 +8,24 @@
 import type { GatewayExchange, GatewayExchangeEnd } from "./exchange.ts";
 
 /**
- * Lines a second for requests that were answered in time. Beyond it they are
- * thinned: a VM answers some 50 a second, and on a day with ten times as many the
- * log must not become the load. What was refused, failed or came late is always
- * logged.
+ * Maximum number of lines per second for requests that were answered on time. A VM
+ * answers about 50 per second; at ten times that rate, logging must not become a load
+ * of its own. Requests that were refused, failed or late are always logged.
  */
-const MOST_GOOD_LINES = 200;
+const MAX_ON_TIME_LINES_PER_S = 200;
 
-/** See the module's comment. */
+/** Writes the request log of one VM. */
 export class RequestLog {
   readonly #log: EventLog;
   #second = 0;
-  #goodLines = 0;
-  #thinned = 0;
+  #onTimeLines = 0;
+  #suppressedLines = 0;
 
   constructor(log: EventLog) {
     this.#log = log;
   }
 
-  /** Writes the line. */
+  /** Logs the end of a request, unless the line is suppressed. */
   ended(
     exchange: GatewayExchange,
     end: GatewayExchangeEnd,
@@ -36,9 +35,9 @@
       accountsMs: number;
     },
   ): void {
-    const isGood = end === "answered" && now <= exchange.aimAt;
-    if (isGood && !this.#mayWrite(now)) {
-      this.#thinned += 1;
+    const isOnTime = end === "answered" && now <= exchange.aimAt;
+    if (isOnTime && !this.#mayWrite(now)) {
+      this.#suppressedLines += 1;
       return;
     }
     const { route, request, lastAttempt: last } = exchange;
@@ -53,9 +52,9 @@
       durationMs: Math.round(now - exchange.startedAt),
       waitedMs: Math.round(exchange.waitedMs),
       ...(exchange.account === undefined ? {} : { account: exchange.account }),
-      // Of what was answered in time nobody asks why.
-      ...(isGood ? {} : { newsMs }),
-      ...(isGood || exchange.account === undefined ? {} : { accountsMs }),
+      // The age of the data only helps to explain refused, failed or late requests.
+      ...(isOnTime ? {} : { newsMs }),
+      ...(isOnTime || exchange.account === undefined ? {} : { accountsMs }),
       ...(exchange.retryAfterMs === undefined
         ? {}
         : { retryAfterMs: Math.round(exchange.retryAfterMs) }),
@@ -73,14 +72,14 @@
   #mayWrite(now: number): boolean {
     const second = Math.floor(now / 1_000);
     if (second !== this.#second) {
-      if (this.#thinned > 0) {
-        this.#log.write("lines thinned", { lines: this.#thinned });
+      if (this.#suppressedLines > 0) {
+        this.#log.write("lines thinned", { lines: this.#suppressedLines });
       }
       this.#second = second;
-      this.#goodLines = 0;
-      this.#thinned = 0;
+      this.#onTimeLines = 0;
+      this.#suppressedLines = 0;
     }
-    this.#goodLines += 1;
-    return this.#goodLines <= MOST_GOOD_LINES;
+    this.#onTimeLines += 1;
+    return this.#onTimeLines <= MAX_ON_TIME_LINES_PER_S;
   }
 }
--- a/packages/daemon/src/gateway/request_path.ts
+++ b/packages/daemon/src/gateway/request_path.ts
@@ -1,6 +1,6 @@
 /**
- * What stands between callers' requests and targets on one VM, without a socket:
- * steering, waiting requests, deadlines, and what is believed of targets.
+ * The path of requests from callers to targets on one VM, without sockets:
+ * steering, the wait queue, deadlines and the health state of targets.
  *
  * @module
  */
@@ -21,37 +21,37 @@
 import { RequestQueue } from "./request_queue.ts";
 import { type TargetChange, TargetDirectory } from "./target_directory.ts";
 
-/** How often deadlines and waiting requests are looked at while some are close, in milliseconds. */
+/** Interval of the deadline and wait queue checks while requests wait or a deadline is near. */
 export const BUSY_TICK_MS = 20;
-/** How often targets, peers and probes are looked at, and deadlines while none is close, in milliseconds. */
+/** Interval of the target, peer and probe checks, and of the deadline checks while no request waits and no deadline is near. */
 export const IDLE_TICK_MS = 200;
 
-/** What a request path works with. */
+/** Options of a request path. */
 export interface RequestPathOptions {
   readonly steering: Steering;
   readonly zones: ReadonlyMap<ZoneId, RegionId>;
   readonly dialect: Dialect;
   readonly log: EventLog;
   readonly connections: ConnectionSource;
-  /** Told of what changed about a target. */
-  targetChanged(target: AnnouncedTarget, what: TargetChange): void;
-  /** Told of a target that has fallen silent. */
+  /** Called when a target has changed. */
+  targetChanged(target: AnnouncedTarget, change: TargetChange): void;
+  /** Called when a target has become unresponsive. */
   targetSilent(target: TargetId): void;
-  /** A target that is out is to be probed. */
+  /** Probes a target that was taken out of use. */
   probe(target: TargetId): void;
-  /** A request begins to wait: {@link RequestPath.tick} is due in {@link BUSY_TICK_MS}. */
+  /** Called when a request is queued: {@link RequestPath.tick} is then due in {@link BUSY_TICK_MS}. */
   hurry?(): void;
-  /** Peers are to hear what a target has said of its limit. */
-  publishLimit(word: LimitWord): void;
-  /** Peers are to hear of a target that a request may have crashed. */
+  /** Sends peers the limit that a target reported, or lifted. */
+  publishLimit(limit: LimitWord): void;
+  /** Sends peers a target crash that a request may have caused. */
   publishCrash(crash: SuspectedCrash): void;
-  /** Called once for each exchange, when its caller has its final answer. */
+  /** Called once per exchange, when its caller has the final response or has disconnected. */
   ended: GatewayExchangeServices["ended"];
-  /** Called once for each attempt. */
+  /** Called once per attempt. */
   attemptEnded: GatewayExchangeServices["attemptEnded"];
 }
 
-/** See the module's comment. Times are milliseconds of the monotonic clock. */
+/** The request path of one VM; see the module comment. Times are milliseconds of the monotonic clock. */
 export class RequestPath {
   readonly steering: Steering;
   readonly targets: TargetDirectory;
@@ -71,7 +71,7 @@
       steering,
       zones: options.zones,
       onGone: (target) => connections.forget(target),
-      onChange: (target, what) => this.#targetChanged(target, what),
+      onChange: (target, change) => this.#targetChanged(target, change),
       onFirstList: (targets) => this.#logFirstList(targets),
     });
     this.suspects = new CrashSuspects((crash) => options.publishCrash(crash));
@@ -86,39 +86,39 @@
       log,
       ended: (exchange, end) => options.ended(exchange, end),
       attemptEnded: (end) => options.attemptEnded(end),
-      limitNamed: (word) => {
-        if (this.#limitNamed(word, "answer")) {
-          options.publishLimit(word);
+      limitReported: (limit) => {
+        if (this.#applyLimit(limit, "answer")) {
+          options.publishLimit(limit);
         }
       },
     };
   }
 
-  /** Requests that wait for a target. */
+  /** Number of requests that wait for a target. */
   get waitingRequests(): number {
     return this.#queue.size;
   }
 
-  /** A caller's request; it begins with `start`. */
+  /** Creates the exchange of a caller's request; {@link GatewayExchange.start} starts it. */
   exchange(options: GatewayExchangeOptions): GatewayExchange {
     return new GatewayExchange(this.#services, options);
   }
 
-  /** Looks at deadlines and waiting requests; returns in how many milliseconds that is due again. */
+  /** Expires deadlines and places waiting requests; returns the time until the next call is due. */
   tick(now: number): number {
     this.#wheel.advance(now);
     if (this.#queue.size > 0) {
-      this.#queue.pumpAll(now);
+      this.#queue.placeAllWaiting(now);
     }
     const isClose = this.#queue.size > 0 ||
       this.#wheel.dueWithin(IDLE_TICK_MS);
     return isClose ? BUSY_TICK_MS : IDLE_TICK_MS;
   }
 
-  /** Work that is due every {@link IDLE_TICK_MS}. */
+  /** Periodic work, due every {@link IDLE_TICK_MS}. */
   idleTick(now: number): void {
     this.targets.sweep(now);
-    this.#queue.review(now);
+    this.#queue.retryAll(now);
     for (const target of this.steering.checkSilence(now)) {
       this.#options.targetSilent(target);
       this.#options.log.write("target silent", { target });
@@ -128,18 +128,18 @@
     }
   }
 
-  /** The platform's whole list of targets. */
+  /** Applies the platform's complete list of targets. */
   listed(targets: ReadonlyMap<TargetId, AnnouncedTarget>, now: number): void {
     this.targets.update(targets, now);
-    this.#queue.pumpAll(now);
+    this.#queue.placeAllWaiting(now);
   }
 
-  /** Another VM tells what a target has said of its limit. */
-  heardLimit(word: LimitWord): void {
-    this.#limitNamed(word, "peer");
+  /** Applies a target's limit that a peer reported. */
+  heardLimit(limit: LimitWord): void {
+    this.#applyLimit(limit, "peer");
   }
 
-  /** Zones to whose targets nothing is to be sent. */
+  /** Sets the zones whose targets must not be sent any requests. */
   evacuate(zones: ReadonlySet<ZoneId>, now: number): void {
     const { log } = this.#options;
     for (const zone of this.#evacuated) {
@@ -157,7 +157,7 @@
     this.steering.setEvacuated(zones);
   }
 
-  /** A connection to a target took `ms` to come about. */
+  /** Records that connecting to a target took `ms`. */
   connected(id: TargetId, ms: number): void {
     const target = this.targets.get(id);
     if (target !== undefined) {
@@ -165,11 +165,11 @@
     }
   }
 
-  /** True if it is news. */
-  #limitNamed(word: LimitWord, source: "answer" | "peer"): boolean {
-    const { target, perSecond } = word;
+  /** Applies a target's limit; returns true if it changed. */
+  #applyLimit(limit: LimitWord, source: "answer" | "peer"): boolean {
+    const { target, perSecond } = limit;
     const { log } = this.#options;
-    if (!this.steering.limitNamed(target, word)) {
+    if (!this.steering.limitNamed(target, limit)) {
       return false;
     }
     if (perSecond === undefined) {
@@ -190,12 +190,12 @@
     }
   }
 
-  #targetChanged(target: AnnouncedTarget, what: TargetChange): void {
-    if (what === "gone" || what === "restarted") {
-      this.suspects.crashed(target.id, performance.now());
+  #targetChanged(target: AnnouncedTarget, change: TargetChange): void {
+    if (change === "gone" || change === "restarted") {
+      this.suspects.targetCrashed(target.id, performance.now());
     }
-    this.#options.targetChanged(target, what);
-    this.#options.log.write(`target ${what}`, {
+    this.#options.targetChanged(target, change);
+    this.#options.log.write(`target ${change}`, {
       target: target.id,
       service: target.service,
       zone: target.zone,
--- a/packages/daemon/src/gateway/request_queue.ts
+++ b/packages/daemon/src/gateway/request_queue.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that wait on this VM for room at a target, by service.
+ * The wait queues of this VM: requests that wait for capacity at a target, by service.
  *
  * @module
  */
@@ -10,87 +10,86 @@
 /** A request that can be placed. */
 export interface Placeable extends Waiting {
   readonly service: ServiceId;
-  /** Tries to place it while `ahead` requests wait before it; true if it waits on. */
+  /** Tries to place the request while `ahead` requests wait before it; returns true if it has to keep waiting. */
   tryPlace(now: number, ahead: number): boolean;
 }
 
-/** Waiting requests that find no room before the others are not asked any more. */
-const STOP_AFTER = 6;
+/** After this many requests could not be placed, the rest of the queue is skipped. */
+const MAX_FAILED_PLACEMENTS = 6;
 
-/** See the module's comment. */
+/** The wait queues of one VM; see the module comment. */
 export class RequestQueue {
-  readonly #rooms = new Map<ServiceId, WaitingRoom<Placeable>>();
-  readonly #onWait: () => void;
+  readonly #queues = new Map<ServiceId, WaitingRoom<Placeable>>();
+  readonly #onQueued: () => void;
 
-  /** `onWait` is called for each request that begins to wait. */
-  constructor(onWait: () => void = () => undefined) {
-    this.#onWait = onWait;
+  /** `onQueued` is called for each request that is queued. */
+  constructor(onQueued: () => void = () => undefined) {
+    this.#onQueued = onQueued;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get size(): number {
     let size = 0;
-    for (const room of this.#rooms.values()) {
-      size += room.size;
+    for (const queue of this.#queues.values()) {
+      size += queue.size;
     }
     return size;
   }
 
-  /** Places a request, or lets it wait. */
-  add(one: Placeable, now: number): void {
-    let room = this.#rooms.get(one.service);
-    if (room === undefined) {
-      room = new WaitingRoom();
-      this.#rooms.set(one.service, room);
+  /** Places a request, or queues it. */
+  add(request: Placeable, now: number): void {
+    let queue = this.#queues.get(request.service);
+    if (queue === undefined) {
+      queue = new WaitingRoom();
+      this.#queues.set(request.service, queue);
     }
-    if (one.tryPlace(now, room.ahead(one.priority))) {
-      room.add(one);
-      this.#onWait();
+    if (request.tryPlace(now, queue.ahead(request.priority))) {
+      queue.add(request);
+      this.#onQueued();
     }
   }
 
-  /** A request does not wait any more. */
-  remove(one: Placeable): void {
-    this.#rooms.get(one.service)?.remove(one);
+  /** Removes a request from its queue. */
+  remove(request: Placeable): void {
+    this.#queues.get(request.service)?.remove(request);
   }
 
   /**
-   * Places what can be placed of a service, the most urgent first. Stops when
-   * several in a row have found no room: asking all of them at the end of each
-   * request would cost a VM its whole processor share at the very moment at which
-   * it has the most to do.
+   * Places waiting requests of a service, the most urgent first. Stops when several
+   * could not be placed: trying all of them at the end of each request would use up
+   * the VM's processor share under peak load.
    */
-  pump(service: ServiceId, now: number): void {
-    this.#pump(service, now, STOP_AFTER);
+  placeWaiting(service: ServiceId, now: number): void {
+    this.#placeWaiting(service, now, MAX_FAILED_PLACEMENTS);
   }
 
-  /** Places what can be placed of all services. */
-  pumpAll(now: number): void {
-    for (const service of this.#rooms.keys()) {
-      this.#pump(service, now, STOP_AFTER);
+  /** Places waiting requests of all services, as {@link placeWaiting} does for one. */
+  placeAllWaiting(now: number): void {
+    for (const service of this.#queues.keys()) {
+      this.#placeWaiting(service, now, MAX_FAILED_PLACEMENTS);
     }
   }
 
-  /** Asks all that wait, so that those which have waited too long are refused. */
-  review(now: number): void {
-    for (const service of this.#rooms.keys()) {
-      this.#pump(service, now, Infinity);
+  /** Tries to place every waiting request, so that those that waited too long are refused. */
+  retryAll(now: number): void {
+    for (const service of this.#queues.keys()) {
+      this.#placeWaiting(service, now, Infinity);
     }
   }
 
-  #pump(service: ServiceId, now: number, stopAfter: number): void {
-    const room = this.#rooms.get(service);
-    if (room === undefined || room.size === 0) {
+  #placeWaiting(service: ServiceId, now: number, maxFailed: number): void {
+    const queue = this.#queues.get(service);
+    if (queue === undefined || queue.size === 0) {
       return;
     }
     let ahead = 0;
-    for (const one of room.inOrder(now)) {
-      if (one.tryPlace(now, ahead)) {
+    for (const request of queue.inOrder(now)) {
+      if (request.tryPlace(now, ahead)) {
         ahead += 1;
       } else {
-        room.remove(one);
+        queue.remove(request);
       }
-      if (ahead >= stopAfter) {
+      if (ahead >= maxFailed) {
         return;
       }
     }
--- a/packages/daemon/src/gateway/start_attempt.ts
+++ b/packages/daemon/src/gateway/start_attempt.ts
@@ -1,5 +1,5 @@
 /**
- * Sends a request to a target.
+ * Starts an attempt: sends a request to a target over a pooled connection.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 import { TargetAttempt, type TargetAttemptOwner } from "./target_attempt.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
-/** What an attempt is started with. */
+/** Dependencies for starting an attempt. */
 export interface StartAttemptServices {
   readonly dialect: Dialect;
   readonly steering: Steering;
@@ -22,26 +22,26 @@
   readonly targets: TargetDirectory;
 }
 
-/** What is sent, and to which target. */
+/** The request to send, and its target. */
 export interface StartAttemptOptions {
   readonly target: TargetId;
   readonly request: CallerRequest;
   readonly method: string;
-  /** Path and query. */
+  /** Path and query of the request. */
   readonly url: string;
   readonly body: Buffer | Readable | null;
-  /** Time that the target has, in milliseconds. */
+  /** Time left for the target to respond. */
   readonly leftMs: number;
-  /** The client account whose request it is; undefined where nobody asked. */
+  /** The client account that sent the request; undefined if callers are not identified. */
   readonly account: AccountId | undefined;
   /**
-   * Told of the attempt before anything is sent: its events may come before this
-   * function returns.
+   * Called with the attempt before anything is sent, because its events may occur
+   * before {@link startAttempt} returns.
    */
   started(attempt: TargetAttempt): void;
 }
 
-/** Starts an attempt; what becomes of it, its owner hears. */
+/** Starts an attempt; `owner` receives its events. */
 export function startAttempt(
   owner: TargetAttemptOwner,
   services: StartAttemptServices,
--- a/packages/daemon/src/gateway/target_attempt.ts
+++ b/packages/daemon/src/gateway/target_attempt.ts
@@ -1,7 +1,7 @@
 /**
- * One sending of a request to one target. It knows exactly whether a byte of
- * the request may have reached the network, and takes an answer only if it is
- * whole and belongs to the request.
+ * One attempt to send a request to one target. It tracks exactly whether a byte of
+ * the request may have reached the network, and accepts a response only if it is
+ * complete and belongs to the request.
  *
  * @module
  */
@@ -15,48 +15,48 @@
 
 /** How an attempt ended. */
 export type TargetAttemptEnd =
-  /** A whole answer; its body is empty where it was streamed to the owner. */
+  /** A complete response; its body is empty if it was streamed to the owner. */
   | {
     readonly kind: "answered";
-    readonly answer: TargetAnswer;
+    readonly response: TargetAnswer;
     readonly body: Buffer;
   }
-  /** The target refused before running. */
-  | { readonly kind: "not-run"; readonly answer: TargetAnswer }
-  /** Nothing was sent: no connection came about. */
+  /** The target refused the request before running it. */
+  | { readonly kind: "not-run"; readonly response: TargetAnswer }
+  /** Nothing was sent: connecting failed. */
   | { readonly kind: "unreachable"; readonly err: Error }
-  /** It was sent, and no whole answer of its own came. */
+  /** The request was sent, but no complete response to it arrived. */
   | { readonly kind: "broke"; readonly err: Error }
-  /** The owner broke it off. */
+  /** The owner abandoned the attempt. */
   | { readonly kind: "abandoned" };
 
-/** Who gets an attempt's answer. */
+/** Receives the events of an attempt. */
 export interface TargetAttemptOwner {
-  /** Right before the first byte is sent. False: it must not be sent. */
-  attemptWrites(attempt: TargetAttempt, now: number): boolean;
+  /** Called right before the first byte is sent. Returns false if the request must not be sent. */
+  attemptWriting(attempt: TargetAttempt, now: number): boolean;
   /**
-   * A large answer begins to be handed over in pieces; the rest follows through
-   * `attemptPiece`. False: nobody wants it.
+   * Called with the first part of a response that is too large to buffer; the rest
+   * follows through {@link attemptChunk}. Returns false to pause until `resume`.
    */
-  attemptStreams(
+  attemptStreaming(
     attempt: TargetAttempt,
-    answer: TargetAnswer,
-    first: Buffer,
+    response: TargetAnswer,
+    firstChunk: Buffer,
   ): boolean;
-  /** A further piece of a large answer. False: no more until `resume`. */
-  attemptPiece(attempt: TargetAttempt, piece: Buffer): boolean;
-  /** Called once, last. */
+  /** Called for each further chunk of a streamed response. Returns false to pause until `resume`. */
+  attemptChunk(attempt: TargetAttempt, chunk: Buffer): boolean;
+  /** Called exactly once, as the last event. */
   attemptEnded(attempt: TargetAttempt, end: TargetAttemptEnd): void;
 }
 
 /**
- * Answers up to this size are held until they are whole, so that one which ends
- * early can be asked for again instead of reaching the caller in part. Larger
- * ones are streamed: 100 of them at once stay within 26 MB.
+ * Responses up to this size are buffered until complete, so that a truncated one can
+ * be retried instead of reaching the caller in part. Larger ones are streamed. 100
+ * concurrent responses buffer at most 26 MB.
  */
-const HELD_ANSWER_BYTES = 262_144;
+const MAX_BUFFERED_RESPONSE_BYTES = 262_144;
 
-/** What an attempt works with. */
+/** Options of an attempt. */
 export interface TargetAttemptOptions {
   readonly target: TargetId;
   readonly requestId: string;
@@ -64,7 +64,7 @@
   readonly dialect: Dialect;
 }
 
-/** Handles undici's events; see the module's comment. */
+/** Handles undici's events for one attempt; see the module comment. */
 export class TargetAttempt implements Dispatcher.DispatchHandler {
   readonly target: TargetId;
   readonly connection: TargetConnection;
@@ -72,14 +72,14 @@
   readonly #owner: TargetAttemptOwner;
   readonly #options: TargetAttemptOptions;
   #writtenAt: number | undefined;
-  #ended = false;
-  #abandoned = false;
+  #hasEnded = false;
+  #isAbandoned = false;
   #abort: ((err?: Error) => void) | undefined;
   #resume: (() => void) | undefined;
-  #answer: TargetAnswer | undefined;
-  #pieces: Buffer[] = [];
-  #held = 0;
-  #streams = false;
+  #response: TargetAnswer | undefined;
+  #chunks: Buffer[] = [];
+  #bufferedBytes = 0;
+  #isStreaming = false;
 
   constructor(owner: TargetAttemptOwner, options: TargetAttemptOptions) {
     this.#owner = owner;
@@ -88,103 +88,105 @@
     this.connection = options.connection;
   }
 
-  /** When its first byte was written; undefined where none may have been. */
+  /** When the first byte was written; undefined if none can have been. */
   get writtenAt(): number | undefined {
     return this.#writtenAt;
   }
 
-  /** Breaks it off and cuts its connection, so that the target stops its work. */
+  /** Abandons the attempt and destroys its connection, so that the target stops its work. */
   abandon(): void {
-    if (this.#ended) {
+    if (this.#hasEnded) {
       return;
     }
-    this.#abandoned = true;
-    this.#abort?.(new NotSentError("Abandoned"));
+    this.#isAbandoned = true;
+    this.#abort?.(new NotSentError("attempt was abandoned"));
     this.connection.destroy();
     this.#end({ kind: "abandoned" });
   }
 
-  /** Lets a streamed answer flow again. */
+  /** Resumes a paused streamed response. */
   resume(): void {
     this.#resume?.();
   }
 
-  /** Called by undici right before it writes the request, and never otherwise. */
+  /** Called by undici right before it writes the request, and at no other time. */
   onConnect(abort: (err?: Error) => void): void {
-    if (this.#abandoned || this.#writtenAt !== undefined) {
-      // The second case: undici would write the request again after a reset.
-      // Whether that is allowed is not for a connection to say.
-      throw new NotSentError("Not wanted any more");
+    if (this.#isAbandoned || this.#writtenAt !== undefined) {
+      // If the request was already written, undici is about to resend it after a
+      // connection reset. Only the exchange may decide on a retry.
+      throw new NotSentError("request was abandoned or already written");
     }
     const now = performance.now();
-    if (!this.#owner.attemptWrites(this, now)) {
-      this.#abandoned = true;
-      throw new NotSentError("Not allowed any more");
+    if (!this.#owner.attemptWriting(this, now)) {
+      this.#isAbandoned = true;
+      throw new NotSentError("request may no longer be sent");
     }
     this.#writtenAt = now;
     this.#abort = abort;
   }
 
   onHeaders(status: number, raw: Buffer[], resume: () => void): boolean {
-    if (status < 200 || this.#ended) {
+    if (status < 200 || this.#hasEnded) {
       return true;
     }
     this.#resume = resume;
-    const answer = this.#options.dialect.readAnswer(status, raw);
+    const response = this.#options.dialect.readAnswer(status, raw);
     if (
-      answer.requestId !== undefined &&
-      answer.requestId !== this.#options.requestId
+      response.requestId !== undefined &&
+      response.requestId !== this.#options.requestId
     ) {
-      // A second answer to an earlier request on this connection. The caller
-      // would take it for its own, so nothing more is read here.
-      this.#refuse("The answer belongs to another request");
+      // A second response to an earlier request on this connection. The caller
+      // would take it for its own, so the connection is not read any further.
+      this.#reject("response carries the id of another request");
       return false;
     }
-    if (status < 300 && !answer.isStamped) {
-      this.#refuse("The answer does not come from the target");
+    if (status < 300 && !response.isStamped) {
+      this.#reject("response was not stamped by the target");
       return false;
     }
-    this.#answer = answer;
+    this.#response = response;
     return true;
   }
 
-  onData(piece: Buffer): boolean {
-    if (this.#ended) {
+  onData(chunk: Buffer): boolean {
+    if (this.#hasEnded) {
       return true;
     }
-    if (this.#streams) {
-      return this.#owner.attemptPiece(this, piece);
+    if (this.#isStreaming) {
+      return this.#owner.attemptChunk(this, chunk);
     }
-    this.#pieces.push(piece);
-    this.#held += piece.length;
-    if (this.#held <= HELD_ANSWER_BYTES) {
+    this.#chunks.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes <= MAX_BUFFERED_RESPONSE_BYTES) {
       return true;
     }
-    this.#streams = true;
-    const first = Buffer.concat(this.#pieces);
-    this.#pieces = [];
-    return this.#owner.attemptStreams(this, this.#answer!, first);
+    this.#isStreaming = true;
+    const firstChunk = Buffer.concat(this.#chunks);
+    this.#chunks = [];
+    return this.#owner.attemptStreaming(this, this.#response!, firstChunk);
   }
 
   onComplete(): void {
-    const answer = this.#answer!;
-    if (this.connection.wasCut(answer.isChunked)) {
-      const err = new WrongAnswerError("The answer was cut short");
+    const response = this.#response!;
+    if (this.connection.wasCut(response.isChunked)) {
+      const err = new WrongAnswerError(
+        "connection closed before the response was complete",
+      );
       this.#end({ kind: "broke", err });
       return;
     }
-    if (answer.notRun) {
-      this.#end({ kind: "not-run", answer });
+    if (response.notRun) {
+      this.#end({ kind: "not-run", response });
       return;
     }
-    const body = this.#pieces.length === 1
-      ? this.#pieces[0]!
-      : Buffer.concat(this.#pieces);
-    this.#end({ kind: "answered", answer, body });
+    const body = this.#chunks.length === 1
+      ? this.#chunks[0]!
+      : Buffer.concat(this.#chunks);
+    this.#end({ kind: "answered", response, body });
   }
 
   onError(err: Error): void {
-    if (this.#abandoned) {
+    if (this.#isAbandoned) {
       this.#end({ kind: "abandoned" });
     } else if (this.#writtenAt === undefined) {
       this.#end({ kind: "unreachable", err });
@@ -193,17 +195,17 @@
     }
   }
 
-  #refuse(why: string): void {
-    const err = new WrongAnswerError(why);
+  #reject(reason: string): void {
+    const err = new WrongAnswerError(reason);
     this.#end({ kind: "broke", err });
     this.#abort?.(err);
   }
 
   #end(end: TargetAttemptEnd): void {
-    if (this.#ended) {
+    if (this.#hasEnded) {
       return;
     }
-    this.#ended = true;
+    this.#hasEnded = true;
     this.#owner.attemptEnded(this, end);
   }
 }
--- a/packages/daemon/src/gateway/testing.ts
+++ b/packages/daemon/src/gateway/testing.ts
@@ -1,5 +1,5 @@
 /**
- * VMs for tests of the gateway.
+ * Test data for the gateway's tests.
  *
  * @module
  */
@@ -7,8 +7,11 @@
 import type { InstanceId, RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import type { Member } from "./ports.ts";
 
-/** A VM of zone `north-1`, but for what `over` says. */
-export function memberNamed(vm: string, over: Partial<Member> = {}): Member {
+/** Returns a VM of zone `north-1`, with the given overrides. */
+export function memberNamed(
+  vm: string,
+  overrides: Partial<Member> = {},
+): Member {
   return {
     vm: vm as VmId,
     instance: `${vm}.1` as InstanceId,
@@ -17,6 +20,6 @@
     callerAddress: `${vm}:80`,
     peerAddress: `${vm}:77`,
     cores: 1,
-    ...over,
+    ...overrides,
   };
 }
--- a/packages/daemon/src/gateway/undici_client.ts
+++ b/packages/daemon/src/gateway/undici_client.ts
@@ -1,8 +1,8 @@
 /// <reference path="./undici_client_module.d.ts" />
 /**
- * undici's client alone. The package's main module also loads its fetch, cache
- * and WebSocket parts: 100 ms of processor time at each start against 27 ms for
- * the client (medians of whole processes on one machine).
+ * undici's client without the rest of the package. The main module also loads fetch,
+ * cache and WebSocket code, which takes about 100 ms of processor time at each start;
+ * the client alone takes about 27 ms.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Client as UndiciClient } from "undici";
 import ClientOnly from "undici/lib/dispatcher/client.js";
 
-/** undici's `Client`: one connection to one origin. */
+/** undici's `Client`, which keeps one connection to one origin. */
 export const Client = ClientOnly;
-/** See the value of the same name. */
+/** Instance type of the `Client` class above. */
 export type Client = UndiciClient;
--- a/packages/daemon/src/gateway/undici_client_module.d.ts
+++ b/packages/daemon/src/gateway/undici_client_module.d.ts
@@ -1,4 +1,4 @@
-/** undici's client module, which has no types of its own. */
+/** Types of undici's client module, which ships without its own. */
 declare module "undici/lib/dispatcher/client.js" {
   import type { Client } from "undici";
   const client: typeof Client;
