--- a/packages/daemon/src/gateway/caller_listener.ts
+++ b/packages/daemon/src/gateway/caller_listener.ts
@@ -346,11 +346,11 @@
     },
   ): void {
     // An unread body cannot be told apart from a following request.
-    const closes = request === undefined || request.chunked ||
+    const closesConnection = request === undefined || request.chunked ||
       request.contentLength > 0;
-    connection.isEnding ||= closes;
+    connection.isEnding ||= closesConnection;
     connection.latestExchange = undefined;
-    sendLocalReply(res, reason, { retryAfterMs, closes });
+    sendLocalReply(res, reason, { retryAfterMs, closesConnection });
     this.#options.refused(request, reason);
   }
 
--- a/packages/daemon/src/gateway/caller_response.ts
+++ b/packages/daemon/src/gateway/caller_response.ts
@@ -84,7 +84,7 @@
   ): void {
     sendLocalReply(this.#res, reason, {
       retryAfterMs,
-      closes: this.#endsConnection(leavesBodyUnread),
+      closesConnection: this.#endsConnection(leavesBodyUnread),
     });
   }
 
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connections.ts
@@ -96,7 +96,7 @@
       // The exchange enforces the deadline; undici's timers would only add overhead.
       headersTimeout: 0,
       bodyTimeout: 0,
-      connect: connector(target, {
+      connect: createConnector(target, {
         ...options,
         onSocket: (socket) => this.#socket = socket,
         onReset: () => this.#wasReset = true,
@@ -144,7 +144,7 @@
 }
 
 /** Creates undici's connect function, which limits and measures the time to connect. */
-function connector(
+function createConnector(
   target: ConnectionTarget,
   options: {
     localAddress: string;
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -92,8 +92,10 @@
   readonly version: number;
   readonly startedAt: number;
   readonly expiresAt: number;
+  /** When the route's latency objective is missed. */
   readonly aimAt: number;
   readonly priority: number;
+  /** Hash of the object that the request concerns; undefined if the route has no affinity. */
   readonly object: number | undefined;
   readonly #services: GatewayExchangeServices;
   readonly #options: GatewayExchangeOptions;
@@ -109,6 +111,7 @@
   #warmth: Warmth = "unknown";
   /** The latest error response of a target; sent to the caller if no retry succeeds. */
   #failedResponse: { response: TargetAnswer; body: Buffer } | undefined;
+  /** Digest by which repeats of the request are recognized. */
   #digest: string | undefined;
   #firstSentAt: number | undefined;
   #retryAfterMs: number | undefined;
--- a/packages/daemon/src/gateway/own_answer.ts
+++ b/packages/daemon/src/gateway/own_answer.ts
@@ -62,11 +62,11 @@
   return STATUS_CODES[reason];
 }
 
-/** Sends a local reply; `closes` if it closes the caller's connection. */
+/** Sends a local reply; `closesConnection` if it is the last on the caller's connection. */
 export function sendLocalReply(
   res: ServerResponse,
   reason: OwnAnswerReason,
-  options: { retryAfterMs: number | undefined; closes: boolean },
+  options: { retryAfterMs: number | undefined; closesConnection: boolean },
 ): void {
   const headers = ["content-length", "0"];
   if (options.retryAfterMs !== undefined) {
@@ -75,7 +75,7 @@
   if (reason === "unauthenticated") {
     headers.push("www-authenticate", "Bearer");
   }
-  if (options.closes) {
+  if (options.closesConnection) {
     headers.push("connection", "close");
   }
   res.writeHead(STATUS_CODES[reason], headers);
--- a/packages/daemon/src/gateway/request_path.ts
+++ b/packages/daemon/src/gateway/request_path.ts
@@ -60,7 +60,7 @@
   readonly #services: GatewayExchangeServices;
   readonly #wheel = new DeadlineWheel(performance.now());
   readonly #queue: RequestQueue;
-  #evacuated: ReadonlySet<ZoneId> = new Set();
+  #evacuatedZones: ReadonlySet<ZoneId> = new Set();
 
   constructor(options: RequestPathOptions) {
     const { steering, dialect, log, connections } = options;
@@ -110,9 +110,9 @@
     if (this.#queue.size > 0) {
       this.#queue.placeAllWaiting(now);
     }
-    const isClose = this.#queue.size > 0 ||
+    const isBusy = this.#queue.size > 0 ||
       this.#wheel.dueWithin(IDLE_TICK_MS);
-    return isClose ? BUSY_TICK_MS : IDLE_TICK_MS;
+    return isBusy ? BUSY_TICK_MS : IDLE_TICK_MS;
   }
 
   /** Periodic work, due every {@link IDLE_TICK_MS}. */
@@ -142,18 +142,18 @@
   /** Sets the zones whose targets must not be sent any requests. */
   evacuate(zones: ReadonlySet<ZoneId>, now: number): void {
     const { log } = this.#options;
-    for (const zone of this.#evacuated) {
+    for (const zone of this.#evacuatedZones) {
       if (!zones.has(zone)) {
         this.targets.zoneTakenBack(zone, now);
         log.write("zone taken back", { zone });
       }
     }
     for (const zone of zones) {
-      if (!this.#evacuated.has(zone)) {
+      if (!this.#evacuatedZones.has(zone)) {
         log.write("zone evacuated", { zone });
       }
     }
-    this.#evacuated = zones;
+    this.#evacuatedZones = zones;
     this.steering.setEvacuated(zones);
   }
 
--- a/packages/daemon/src/gateway/request_queue.ts
+++ b/packages/daemon/src/gateway/request_queue.ts
@@ -14,7 +14,7 @@
   tryPlace(now: number, ahead: number): boolean;
 }
 
-/** After this many requests could not be placed, the rest of the queue is skipped. */
+/** Number of requests that could not be placed after which the rest of the queue is skipped. */
 const MAX_FAILED_PLACEMENTS = 6;
 
 /** The wait queues of one VM; see the module comment. */
