--- a/packages/daemon/src/gateway/exchange_harness.ts
+++ b/packages/daemon/src/gateway/exchange_harness.ts
@@ -245,8 +245,8 @@
         },
       };
     };
-    const nothing = () => undefined;
-    return { take, giveBack: nothing, drop: nothing } as unknown as Connections;
+    const noop = () => undefined;
+    return { take, giveBack: noop, drop: noop } as unknown as Connections;
   }
 
   /** Throws on a second header, as Node's response does. */
