--- a/packages/model/src/freshness_model_test.ts
+++ b/packages/model/src/freshness_model_test.ts
@@ -74,13 +74,13 @@
     ],
     [
       "leaves the time on the way out",
-      "return answeredAt - wayMs - readAgeMs;",
+      "return answeredAt - transitMs - readAgeMs;",
       "return answeredAt - readAgeMs;",
     ],
     [
       "forgets the age when it turns to another process",
-      "return answeredAt - wayMs - readAgeMs;",
-      "return answeredAt - wayMs;",
+      "return answeredAt - transitMs - readAgeMs;",
+      "return answeredAt - transitMs;",
     ],
     [
       "takes all of the question's time for time at the other process",
