--- a/packages/ids/src/mod.ts
+++ b/packages/ids/src/mod.ts
@@ -1,18 +1,18 @@
 /**
- * Branded ids: plain strings at run time, distinct types for the compiler, so
- * that a zone can never be passed where a region is meant.
+ * Branded ids: plain strings at run time, but distinct types for the compiler, so
+ * that a zone can't be passed where a region is expected.
  *
  * @module
  */
 
 declare const brand: unique symbol;
 
-/** A string that only a function of the owning module may produce. */
+/** A string that can't be assigned from a plain string or from another brand. */
 export type Brand<Name extends string> = string & { readonly [brand]: Name };
 
 /** A VM of the system, as named in its settings and in the platform's VM list. */
 export type VmId = Brand<"VmId">;
-/** One life of the daemon on a VM. A restart is a new instance. */
+/** One run of the daemon on a VM. A restart creates a new instance. */
 export type InstanceId = Brand<"InstanceId">;
 /** A region, for example `zilina`. */
 export type RegionId = Brand<"RegionId">;
@@ -30,14 +30,14 @@
 export type KeyDigest = Brand<"KeyDigest">;
 /** A named preset. */
 export type PresetId = Brand<"PresetId">;
-/** One request of a caller, unique in all VMs. */
+/** One request of a caller, unique over all VMs. */
 export type RequestId = Brand<"RequestId">;
-/** An idempotency key, as a caller sends it. */
+/** An idempotency key as sent by a caller. */
 export type IdempotencyKey = Brand<"IdempotencyKey">;
 /** One operation of an operator; a retry carries the same id. */
 export type OperationId = Brand<"OperationId">;
 
-/** Names `value` as an id of the expected kind. The caller vouches for it. */
+/** Brands `value` as an id of the expected type without checking it. */
 export function id<Id extends string>(value: string): Id {
   return value as Id;
 }
--- a/packages/placement/src/account_credit.ts
+++ b/packages/placement/src/account_credit.ts
@@ -1,18 +1,22 @@
 /**
- * Credit for requests of client accounts whose quota holds over all VMs together.
+ * Credit for client accounts whose quota holds over all VMs together.
  *
- * Answers accounts that send many times what they may, from many connections and so
- * through many VMs at once. Each VM alone sees little of it: counted by each for
- * itself, the account gets a multiple of its quota; divided evenly among VMs, the quota
- * of a small account is less than one request for each. So for each account two VMs of
- * each region keep credit, which all VMs compute alike, and a request runs only for
- * credit that one of them gave. Each region and each keeper has a fixed part of the
- * quota, and a keeper uses only as much of it as it hears of the region's VMs: so parts
- * never sum to more than the quota, also while VMs are cut off from each other. A
- * keeper that starts has none and earns it, since the one before it may have spent all.
- * Callers of an account don't stand in all regions alike, so first keepers lend each
- * other what they can spare. What is lent is gone from the lender before it is sent; an
- * answer that is lost takes it away, and doubles nothing.
+ * An account may send many times its quota over many connections, and so through
+ * many VMs at once. If each VM counted on its own, the account would get a multiple
+ * of its quota; if the quota were divided evenly among VMs, a small account's share
+ * would be less than one request per VM. So for each account two VMs of each region
+ * own credit, chosen by rendezvous hashing, and a request runs only if one of these
+ * owners grants it credit.
+ *
+ * Each region and each owner has a fixed share of the quota, and an owner uses only
+ * as much of it as corresponds to the share of the region's VMs it can reach. The
+ * shares therefore never sum to more than the quota, even during a network
+ * partition. An owner starts without credit, since its predecessor may have spent
+ * it all.
+ *
+ * An account's callers are not spread evenly over the regions, so the first owners
+ * of the regions lend each other spare credit. The lender deducts a loan before
+ * sending it: a lost response loses credit, but never duplicates it.
  *
  * @module
  */
@@ -23,61 +27,79 @@
 /** How a deployment bounds quotas. */
 export interface QuotaBound {
   readonly windowMs: number;
-  /** Share of the quota that may run beyond it in a window. */
+  /** Share of the quota by which requests may exceed it in a window. */
   readonly overage: number;
-  /** Requests that may run beyond it in a window. */
+  /** Number of requests by which the quota may be exceeded in a window. */
   readonly slack: number;
 }
 
-/** The quota of one account, over all VMs together. */
+/** The quota of one account over all VMs together. */
 export interface Quota {
   readonly perSecond: number;
-  /** Requests beyond the rate that may come at once. */
+  /** Requests that may arrive at once in addition to the rate. */
   readonly burst: number;
 }
 
-/** How fast credit is earned, and how much is kept. */
+/** Rate at which credit accrues, and the maximum balance. */
 export interface CreditLimit {
   readonly perSecond: number;
   readonly most: number;
 }
 
-/** A VM that may keep credit. */
-export interface CreditKeeper {
+/** A VM that can own credit. */
+export interface CreditOwner {
   readonly vm: VmId;
   readonly region: RegionId;
-  /** Hash of its name. */
+  /** Hash of the VM's name. */
   readonly hash: number;
 }
 
-/** The longest time that is promised, in milliseconds: callers that are told more don't wait for it. */
-const MOST_PROMISED_MS = 10_000;
-/** Below this part of what a keeper keeps at most, it borrows; above the other one, it lends. */
-const SHORT_SHARE = 0.4;
-const KEPT_SHARE = 0.6;
-/** Part of what the bound allows that is given out: VMs may disagree for a moment on who keeps it. */
-const GIVEN_SHARE = 0.95;
-/** Part of what the bound allows that may come at once; the rest is earned over the window. */
+/**
+ * Longest delay that callers are given: callers given a longer one don't wait for
+ * it.
+ */
+const MAX_RETRY_DELAY_MS = 10_000;
+/**
+ * An owner borrows below the first share of its maximum balance, and lends above
+ * the second one.
+ */
+const BORROW_BELOW_SHARE = 0.4;
+const LEND_ABOVE_SHARE = 0.6;
+/**
+ * Share of the allowed credit that is allocated: VMs may briefly disagree on its
+ * owners.
+ */
+const ALLOCATED_SHARE = 0.95;
+/**
+ * Share of the allowed credit that may be used at once; the rest accrues over the
+ * window.
+ */
 const BURST_SHARE = 0.15;
-/** Parts of a region's credit that its first and second keeper have. The second serves alone while the first is lost. */
+/**
+ * Shares of a region's credit held by its first and second owner. The second one
+ * serves alone while the first one is down.
+ */
 export const KEEPER_PARTS: readonly number[] = [0.7, 0.3];
 
-/** All credit of an account, so that no window has more than the bound allows. */
+/** Limit on an account's total credit, such that no window exceeds the bound. */
 export function creditLimit(quota: Quota, bound: QuotaBound): CreditLimit {
   const windowS = bound.windowMs / 1_000;
   const allowed = (quota.perSecond * windowS + quota.burst) *
       (1 + bound.overage) + bound.slack;
-  const most = allowed * BURST_SHARE;
-  return { perSecond: (allowed * GIVEN_SHARE - most) / windowS, most };
+  const burst = allowed * BURST_SHARE;
+  return {
+    perSecond: (allowed * ALLOCATED_SHARE - burst) / windowS,
+    most: burst,
+  };
 }
 
-/** A part of a limit. */
-export function partOf(limit: CreditLimit, part: number): CreditLimit {
-  return { perSecond: limit.perSecond * part, most: limit.most * part };
+/** The given share of a limit. */
+export function partOf(limit: CreditLimit, share: number): CreditLimit {
+  return { perSecond: limit.perSecond * share, most: limit.most * share };
 }
 
-/** The keepers of an account's credit in a region, the first one first. */
-export function keepersOf<T extends CreditKeeper>(
+/** The owners of an account's credit in a region, the first owner first. */
+export function keepersOf<T extends CreditOwner>(
   account: string,
   vms: readonly T[],
 ): readonly T[] {
@@ -87,21 +109,21 @@
   ).slice(0, KEEPER_PARTS.length);
 }
 
-/** Credit that is earned over time. It begins with none. */
+/** Credit balance that accrues over time, starting at zero. */
 export class CreditBucket {
   #credit = 0;
-  #earnedAt: number;
-  /** When the credit comes that was promised last. */
-  #promisedAt = -Infinity;
+  #accruedAt: number;
+  /** When the credit scheduled last becomes available. */
+  #lastRetryAt = -Infinity;
 
   /** Times are milliseconds of one monotonic clock. */
   constructor(now: number) {
-    this.#earnedAt = now;
+    this.#accruedAt = now;
   }
 
-  /** Takes the credit of one request, if there is any. */
+  /** Takes the credit of one request; false if there is too little. */
   take(limit: CreditLimit, now: number): boolean {
-    this.#earn(limit, now);
+    this.#accrue(limit, now);
     if (this.#credit < 1) {
       return false;
     }
@@ -110,52 +132,57 @@
   }
 
   /**
-   * Promises credit to a request that got none, and returns in how many milliseconds
-   * there will be some. Each promise lies behind the one before: told the same time,
-   * all callers that were refused would come back together for the credit of one.
+   * Schedules the retry of a refused request and returns the delay in milliseconds
+   * until there is credit for it. Each retry is scheduled after the previous one:
+   * if all refused callers were given the same delay, they would return together
+   * for the credit of one request.
    */
   promise(limit: CreditLimit, now: number): number {
-    this.#earn(limit, now);
-    const earnMs = 1_000 / limit.perSecond;
-    const soonest = now + Math.max(0, 1 - this.#credit) * earnMs;
-    this.#promisedAt = Math.min(
-      Math.max(soonest, this.#promisedAt + earnMs),
-      now + MOST_PROMISED_MS,
+    this.#accrue(limit, now);
+    const accrueMs = 1_000 / limit.perSecond;
+    const earliest = now + Math.max(0, 1 - this.#credit) * accrueMs;
+    this.#lastRetryAt = Math.min(
+      Math.max(earliest, this.#lastRetryAt + accrueMs),
+      now + MAX_RETRY_DELAY_MS,
     );
-    return this.#promisedAt - now;
+    return this.#lastRetryAt - now;
   }
 
-  /** Whether so little is left that more had better be borrowed. */
+  /** Whether the balance is so low that credit should be borrowed. */
   isShort(limit: CreditLimit, now: number): boolean {
-    this.#earn(limit, now);
-    return this.#credit < limit.most * SHORT_SHARE;
+    this.#accrue(limit, now);
+    return this.#credit < limit.most * BORROW_BELOW_SHARE;
   }
 
-  /** Gives credit to another keeper, as far as this one can spare it: it is gone from here. */
+  /** Lends spare credit to another owner. It is deducted from this balance. */
   lend(
     limit: CreditLimit,
     { asked, now }: { readonly asked: number; readonly now: number },
   ): number {
-    this.#earn(limit, now);
-    const spare = Math.floor(this.#credit - limit.most * KEPT_SHARE);
+    this.#accrue(limit, now);
+    const spare = Math.floor(this.#credit - limit.most * LEND_ABOVE_SHARE);
     const lent = Math.max(0, Math.min(asked, spare));
     this.#credit -= lent;
     return lent;
   }
 
-  /** Takes in what another keeper gave; what does not fit is lost. */
+  /**
+   * Adds credit lent by another owner, up to the maximum balance; the excess is
+   * lost.
+   */
   borrowed(
     limit: CreditLimit,
     { lent, now }: { readonly lent: number; readonly now: number },
   ): void {
-    this.#earn(limit, now);
+    this.#accrue(limit, now);
     this.#credit = Math.min(limit.most, this.#credit + lent);
   }
 
-  #earn({ perSecond, most }: CreditLimit, now: number): void {
-    const earned = (now - this.#earnedAt) / 1_000 * perSecond;
-    // One request must fit, or an account with a small quota would never be served.
-    this.#credit = Math.min(Math.max(1, most), this.#credit + earned);
-    this.#earnedAt = now;
+  #accrue({ perSecond, most: max }: CreditLimit, now: number): void {
+    const accrued = (now - this.#accruedAt) / 1_000 * perSecond;
+    // The balance must hold at least one request, or an account with a small quota
+    // would never be served.
+    this.#credit = Math.min(Math.max(1, max), this.#credit + accrued);
+    this.#accruedAt = now;
   }
 }
--- a/packages/placement/src/account_credit_test.ts
+++ b/packages/placement/src/account_credit_test.ts
@@ -23,24 +23,27 @@
   return (quota.perSecond * 5 + quota.burst) * 1.1 + 20;
 }
 
-/** The moments at which requests get credit of any keeper, while each keeper is asked all the time. */
+/**
+ * The times at which requests are granted credit by any owner, while each owner is
+ * asked all the time.
+ */
 function grants(
   quota: { perSecond: number; burst: number },
   { lengthMs, restartsAt }: { lengthMs: number; restartsAt: readonly number[] },
 ): readonly number[] {
   const limit = creditLimit(quota, BOUND);
-  const keepers = Array.from({ length: REGIONS }, () => KEEPER_PARTS).flat()
-    .map((part) => ({
-      limit: partOf(limit, part / REGIONS),
+  const owners = Array.from({ length: REGIONS }, () => KEEPER_PARTS).flat()
+    .map((share) => ({
+      limit: partOf(limit, share / REGIONS),
       bucket: new CreditBucket(0),
     }));
   const times: number[] = [];
   for (let now = 0; now < lengthMs; now += 10) {
-    for (const keeper of keepers) {
+    for (const owner of owners) {
       if (restartsAt.includes(now)) {
-        keeper.bucket = new CreditBucket(now);
+        owner.bucket = new CreditBucket(now);
       }
-      while (keeper.bucket.take(keeper.limit, now)) {
+      while (owner.bucket.take(owner.limit, now)) {
         times.push(now);
       }
     }
@@ -48,7 +51,7 @@
   return times;
 }
 
-function mostInWindow(times: readonly number[]): number {
+function maxInWindow(times: readonly number[]): number {
   let from = 0;
   let most = 0;
   times.forEach((time, to) => {
@@ -61,7 +64,7 @@
 }
 
 describe("credit of an account", () => {
-  test("stays within the bound in any window, whatever is asked and whenever keepers restart", () => {
+  test("stays within the bound in any window, whatever is requested and whenever owners restart", () => {
     fc.assert(
       fc.property(
         fc.record({
@@ -72,21 +75,21 @@
         (quota, restarts) => {
           const restartsAt = restarts.map((at) => at * 10);
           const times = grants(quota, { lengthMs: 12_000, restartsAt });
-          expect(mostInWindow(times)).toBeLessThanOrEqual(allowed(quota));
+          expect(maxInWindow(times)).toBeLessThanOrEqual(allowed(quota));
         },
       ),
       { numRuns: 200 },
     );
   });
 
-  test("serves what an account may send for as long as it sends it", () => {
+  test("sustains the full quota of an account", () => {
     const quota = { perSecond: 60, burst: 60 };
     const times = grants(quota, { lengthMs: 30_000, restartsAt: [] });
     const late = times.filter((time) => time >= 10_000).length;
     expect(late / 20).toBeGreaterThanOrEqual(quota.perSecond);
   });
 
-  test("tells when there is credit again", () => {
+  test("reports when there will be credit again", () => {
     const limit = { perSecond: 4, most: 2 };
     const bucket = new CreditBucket(0);
     expect(bucket.promise(limit, 0)).toBe(250);
@@ -94,7 +97,7 @@
     expect(bucket.take(limit, 260)).toBe(true);
   });
 
-  test("that is lent is gone from the lender, and no bucket holds more than it may", () => {
+  test("is deducted from the lender before a loan, and no bucket exceeds its maximum", () => {
     const limit = { perSecond: 10, most: 10 };
     fc.assert(
       fc.property(
@@ -129,9 +132,9 @@
     );
   });
 
-  test("is promised to one refused request after the other", () => {
-    // Fifty callers are refused at once. Told the same time, they come back together,
-    // and all but one are refused once more.
+  test("is scheduled for refused requests one after the other", () => {
+    // Fifty callers are refused at once. With the same delay for all of them, they
+    // would return together, and all but one would be refused again.
     const limit = { perSecond: 10, most: 5 };
     const bucket = new CreditBucket(0);
     const promised = Array.from({ length: 50 }, () => bucket.promise(limit, 0));
@@ -142,14 +145,14 @@
   });
 });
 
-test("all VMs name the same keepers, and another one where a keeper is lost", () => {
+test("all VMs compute the same owners, and the second one becomes first if the first one is lost", () => {
   const vms = Array.from({ length: 22 }, (_, at) => ({
     vm: `vm-${at}` as VmId,
     region: "north" as RegionId,
     hash: hashText(`vm-${at}`),
   }));
-  const keepers = keepersOf("anna", vms);
-  expect(keepersOf("anna", vms.toReversed())).toEqual(keepers);
-  const left = vms.filter((vm) => vm !== keepers[0]);
-  expect(keepersOf("anna", left)[0]).toBe(keepers[1]);
+  const owners = keepersOf("anna", vms);
+  expect(keepersOf("anna", vms.toReversed())).toEqual(owners);
+  const remaining = vms.filter((vm) => vm !== owners[0]);
+  expect(keepersOf("anna", remaining)[0]).toBe(owners[1]);
 });
--- a/packages/placement/src/agreed_order.ts
+++ b/packages/placement/src/agreed_order.ts
@@ -1,6 +1,7 @@
 /**
- * The order in which all VMs of a region use the targets of a service for an
- * object, computed alike without a message.
+ * Rendezvous order: the order in which all VMs of a region use the targets of a
+ * service for an object. Each VM computes the same order without exchanging
+ * messages.
  *
  * @module
  */
@@ -9,21 +10,24 @@
 import { hashText, pairWeight } from "./hash.ts";
 import type { Place, PlacedTarget } from "./target.ts";
 
-/** What an order is computed from. */
-export interface AgreedOrderBasis {
+/** Parameters of a rendezvous order. */
+export interface RendezvousOrderParams {
   readonly object: number;
-  /** Where this VM is. */
+  /** Location of this VM. */
   readonly from: Place;
   /** Whether the object has a home in this VM's region. */
   readonly isHomeHere: boolean;
 }
 
-/** What has a place in an order. */
-interface Holder {
+/** An item that can be ordered by its target. */
+interface HasTarget {
   readonly target: PlacedTarget;
 }
 
-/** Whether an object has a home in a region that is home to `share` of all objects, 0 to 1. */
+/**
+ * Whether the object has a home in a region that is home to the given share of all
+ * objects, 0 to 1.
+ */
 export function hasHome(
   object: number,
   region: RegionId,
@@ -33,54 +37,57 @@
 }
 
 /**
- * Sorts what holds targets in the order in which they are used for an object. The
- * first one is its home, in the region of this VM if the object has a home there;
- * the next ones take what the home has no room for.
+ * Sorts entries into the rendezvous order of an object. The first one is the
+ * object's home, which is in this VM's region if the object has a home there. The
+ * following ones take the requests that the home has no capacity for.
  */
-export function agreedOrder<T extends Holder>(
-  holders: readonly T[],
-  basis: AgreedOrderBasis,
+export function rendezvousOrder<T extends HasTarget>(
+  entries: readonly T[],
+  params: RendezvousOrderParams,
 ): readonly T[] {
-  const weighed = holders.map((holder) => ({
-    holder,
-    weight: orderWeight(holder, basis),
+  const scored = entries.map((entry) => ({
+    entry,
+    weight: orderWeight(entry, params),
   }));
-  weighed.sort((a, b) => b.weight - a.weight);
-  return weighed.map(({ holder }) => holder);
+  scored.sort((a, b) => b.weight - a.weight);
+  return scored.map(({ entry }) => entry);
 }
 
 /**
- * The first `most` of {@link agreedOrder}. Sorting some hundred targets takes twenty
- * times as long as finding the first of them, and each change of the list asks for
- * new orders.
+ * The first `count` entries of {@link rendezvousOrder}. Sorting several hundred
+ * targets takes twenty times as long as selecting the first of them, and each
+ * change of the target list invalidates the orders.
  */
-export function firstOfOrder<T extends Holder>(
-  holders: readonly T[],
-  basis: AgreedOrderBasis,
-  most: number,
+export function firstInOrder<T extends HasTarget>(
+  entries: readonly T[],
+  params: RendezvousOrderParams,
+  count: number,
 ): readonly T[] {
   const first: T[] = [];
   const weights: number[] = [];
-  for (const holder of holders) {
-    const weight = orderWeight(holder, basis);
-    if (first.length === most && weight <= weights[most - 1]!) {
+  for (const entry of entries) {
+    const weight = orderWeight(entry, params);
+    if (first.length === count && weight <= weights[count - 1]!) {
       continue;
     }
-    let at = Math.min(first.length, most - 1);
+    let at = Math.min(first.length, count - 1);
     for (; at > 0 && weights[at - 1]! < weight; at -= 1) {
       weights[at] = weights[at - 1]!;
       first[at] = first[at - 1]!;
     }
     weights[at] = weight;
-    first[at] = holder;
+    first[at] = entry;
   }
   return first;
 }
 
-/** Targets of the region come first, or last where it has no home for the object. */
+/**
+ * Targets of this VM's region sort first, or last if the object has no home in this
+ * region.
+ */
 function orderWeight(
-  { target }: Holder,
-  { object, from, isHomeHere }: AgreedOrderBasis,
+  { target }: HasTarget,
+  { object, from, isHomeHere }: RendezvousOrderParams,
 ): number {
   const weight = pairWeight(object, target.hash) / 2 ** 32;
   return target.region === from.region
--- a/packages/placement/src/choose.ts
+++ b/packages/placement/src/choose.ts
@@ -1,14 +1,14 @@
 /**
- * Chooses the target of a request.
+ * Chooses the target of a request by cost.
  *
- * Answers targets that are about three times faster on objects they handled
- * lately, and of which each VM sees only its own part of the load. Without an
- * agreed home for each object, every VM warms other targets, requests take three
- * times as long, and a service that would be half idle is overloaded: one
- * notices queues everywhere at moderate load. Here every VM ranks the targets
- * alike for an object, so that all of them meet at the same few targets without
- * a message; what that saves is weighed, in milliseconds, against the way there
- * and the queue.
+ * Targets respond about three times faster for objects that they handled recently,
+ * and each VM sees only its own share of the load. If VMs chose without
+ * coordination, each would warm different targets, requests would take three times
+ * as long, and a service at half load would be overloaded, with long queues
+ * everywhere at moderate load. With rendezvous hashing all VMs rank the targets of
+ * an object alike without exchanging messages, and so share the same few targets.
+ * The time that a warm target saves is compared, in milliseconds, with the round
+ * trip and the queue.
  *
  * @module
  */
@@ -16,66 +16,71 @@
 import type { TargetId } from "@poplarthread/ids";
 import type { Place, PlacedTarget } from "./target.ts";
 
-/** What speaks for or against one target at this moment. */
-export interface TargetPrice {
-  /** Round trip, in milliseconds. */
+/** Current properties of a target that determine its cost. */
+export interface TargetCosts {
   readonly roundTripMs: number;
-  /** Expected wait for a slot, in milliseconds. */
+  /** Expected wait for a slot. */
   readonly waitMs: number;
-  /** This VM sent requests for the object there lately. */
+  /** A VM recently sent requests for the object to this target. */
   readonly isWarm: boolean;
-  /** Share of recent requests that it failed, 0 to 1. */
+  /** Share of recent requests that the target failed, 0 to 1. */
   readonly failureShare: number;
 }
 
-/** How milliseconds and money are weighed. */
+/** Weights that convert properties of a target to a cost in milliseconds. */
 export interface PlacementWeights {
   /**
-   * Expected cost of a target that nobody is known to have warmed, as a multiple of
-   * what a warm one saves a request of its kind. More than once that time, since a
-   * slot that is busy longer is missing to all others: priced at it alone, a crowded
-   * service fills with requests on cold objects until nothing is in time.
+   * Cost of a target not known to be warm, as a multiple of the time that a warm
+   * one saves for this kind of request. It is above 1 because a slot that stays
+   * busy longer is also unavailable to all other requests: at 1, a busy service
+   * fills with requests on uncached objects until all responses are late.
    */
   readonly unwarmed: number;
   /**
-   * Further cost of each position in the agreed order behind the first unwarmed
-   * one, as the same kind of multiple. Without it an object is warmed wherever a
-   * queue is short at the moment: on ten targets in half a minute, each of which
-   * forgets another object for it.
+   * Additional cost per position in the rendezvous order after the first unwarmed
+   * target, as a multiple of the same time. Without it an object is warmed wherever
+   * a queue happens to be short: on ten targets within half a minute, each of which
+   * evicts another object for it.
    */
   readonly unwarmedStep: number;
-  /** Cost of each position in the agreed order where the target is warm, in milliseconds: requests return to the home once it has room. */
-  readonly awayMs: number;
-  /** Cost of leaving the zone beyond the round trip, in milliseconds: bytes between zones are billed. */
-  readonly leaveZoneMs: number;
-  /** Cost of leaving the region beyond the round trip, in milliseconds. */
-  readonly leaveRegionMs: number;
-  /** Cost of a target that fails all requests, in milliseconds. */
+  /**
+   * Cost of each position in the rendezvous order for warm targets. It makes
+   * requests return to the home target as soon as that has capacity.
+   */
+  readonly warmStepMs: number;
+  /**
+   * Additional cost of another zone besides the round trip: traffic between zones
+   * is billed.
+   */
+  readonly crossZoneMs: number;
+  /** Additional cost of another region besides the round trip. */
+  readonly crossRegionMs: number;
+  /** Cost of a target that fails all its requests. */
   readonly failingMs: number;
 }
 
-/** The default weights; see {@link PlacementWeights}. */
+/** The default weights. */
 export const DEFAULT_WEIGHTS: PlacementWeights = {
   unwarmed: 1.5,
   unwarmedStep: 0.7,
-  awayMs: 15,
-  leaveZoneMs: 6,
-  leaveRegionMs: 10,
+  warmStepMs: 15,
+  crossZoneMs: 6,
+  crossRegionMs: 10,
   failingMs: 1_500,
 };
 
-/** Ties among alike targets are broken in steps of less than a millisecond. */
+/** Ties between equal targets are broken in steps of 1/64 ms. */
 const TIE_STEPS = 64;
 
-/** Later positions in the agreed order are all alike. */
-export const MOST_POSITION = 8;
+/** Positions in the rendezvous order from this one on cost the same. */
+export const MAX_POSITION = 8;
 
-/** One choice. */
+/** The chosen target. */
 export interface Choice {
   readonly target: TargetId;
-  /** Expected wait and round trip, in milliseconds. */
+  /** Expected wait and round trip. */
   readonly expectedMs: number;
-  /** What it was compared by, in milliseconds. */
+  /** Total cost of the target in milliseconds. */
   readonly cost: number;
 }
 
@@ -83,31 +88,31 @@
 export interface Candidate {
   readonly target: PlacedTarget;
   /**
-   * Position in the agreed order of the request's object among the targets that may
-   * be used, 0 for its home; undefined where requests are all alike.
+   * Position in the rendezvous order of the request's object among the usable
+   * targets, 0 for its home; undefined for requests without an object.
    */
   readonly position: number | undefined;
-  readonly price: TargetPrice;
+  readonly costs: TargetCosts;
 }
 
-/** What all candidates are compared on. */
-export interface ChoiceBasis {
-  /** Where this VM is. */
+/** Parameters that are common to all candidates. */
+export interface ChoiceParams {
+  /** Location of this VM. */
   readonly from: Place;
   readonly weights: PlacementWeights;
-  /** What a target that keeps the object saves a request of this kind, in milliseconds. */
+  /** Time that a target with the object cached saves for a request of this kind. */
   readonly savedMs: number;
 }
 
-/** The cheapest of `candidates`; undefined where there is none. */
+/** The candidate with the lowest cost; undefined if there are no candidates. */
 export function choose(
   candidates: readonly Candidate[],
-  basis: ChoiceBasis,
+  params: ChoiceParams,
 ): Choice | undefined {
   let best: Candidate | undefined;
   let bestCost = Infinity;
   for (const candidate of candidates) {
-    const cost = wayCost(candidate, basis) + warmthCost(candidate, basis);
+    const cost = pathCost(candidate, params) + warmthCost(candidate, params);
     if (cost < bestCost) {
       bestCost = cost;
       best = candidate;
@@ -115,48 +120,53 @@
   }
   return best && {
     target: best.target.id,
-    expectedMs: best.price.waitMs + best.price.roundTripMs,
+    expectedMs: best.costs.waitMs + best.costs.roundTripMs,
     cost: bestCost,
   };
 }
 
-/** The least that an unwarmed target at {@link MOST_POSITION} or behind it costs, in milliseconds. */
-export function leastCostBehind(
-  basis: Pick<ChoiceBasis, "weights" | "savedMs">,
+/**
+ * The lowest cost that an unwarmed target at or after {@link MAX_POSITION} can
+ * have, in milliseconds.
+ */
+export function minCostFromMaxPosition(
+  params: Pick<ChoiceParams, "weights" | "savedMs">,
 ): number {
-  return unwarmedCost(MOST_POSITION, basis);
+  return unwarmedCost(MAX_POSITION, params);
 }
 
-function wayCost(
-  { target, price }: Candidate,
-  { from, weights }: ChoiceBasis,
+function pathCost(
+  { target, costs }: Candidate,
+  { from, weights }: ChoiceParams,
 ): number {
-  const cost = price.roundTripMs + price.waitMs +
-    price.failureShare * weights.failingMs;
+  const cost = costs.roundTripMs + costs.waitMs +
+    costs.failureShare * weights.failingMs;
   if (target.region !== from.region) {
-    return cost + weights.leaveRegionMs;
+    return cost + weights.crossRegionMs;
   }
-  return target.zone === from.zone ? cost : cost + weights.leaveZoneMs;
+  return target.zone === from.zone ? cost : cost + weights.crossZoneMs;
 }
 
 function warmthCost(
-  { target, position, price }: Candidate,
-  basis: ChoiceBasis,
+  { target, position, costs }: Candidate,
+  params: ChoiceParams,
 ): number {
   if (position === undefined) {
-    // Equal targets must not all be filled in the order of the list.
+    // Spreads requests over equal targets instead of filling them in list order.
     return target.hash % TIE_STEPS / TIE_STEPS;
   }
   if (position === 0) {
     return 0;
   }
-  const away = Math.min(position, MOST_POSITION);
-  return price.isWarm ? away * basis.weights.awayMs : unwarmedCost(away, basis);
+  const step = Math.min(position, MAX_POSITION);
+  return costs.isWarm
+    ? step * params.weights.warmStepMs
+    : unwarmedCost(step, params);
 }
 
 function unwarmedCost(
   position: number,
-  { weights, savedMs }: Pick<ChoiceBasis, "weights" | "savedMs">,
+  { weights, savedMs }: Pick<ChoiceParams, "weights" | "savedMs">,
 ): number {
   return savedMs * (weights.unwarmed + (position - 1) * weights.unwarmedStep);
 }
--- a/packages/placement/src/choose_test.ts
+++ b/packages/placement/src/choose_test.ts
@@ -22,7 +22,7 @@
   return steering.place(requestFor(object, { now }), { now, ahead: 0 });
 }
 
-function answer(steering: Steering, target: TargetId, options: {
+function respond(steering: Steering, target: TargetId, options: {
   object: string;
   now: number;
   waiting?: number;
@@ -41,7 +41,7 @@
 const OBJECTS = Array.from({ length: 40 }, (_, at) => `object ${at}`);
 
 describe("the home of an object", () => {
-  test("is the same for all VMs of a region, in any order of their lists", () => {
+  test("is the same for all VMs of a region, whatever the order of their target lists", () => {
     const targets = targetsIn("north", 8);
     const first = steeringIn("north", targets);
     const second = steeringIn("north", targets.toReversed());
@@ -52,7 +52,7 @@
     }
   });
 
-  test("moves for few objects when a target goes", () => {
+  test("moves only for objects of a removed target", () => {
     const targets = targetsIn("north", 8);
     const before = steeringIn("north", targets);
     const after = steeringIn("north", targets.slice(1));
@@ -65,11 +65,12 @@
     expect(moved).toEqual(lost);
   });
 
-  test("keeps its requests while it is full, though others stand idle", () => {
-    // Ten VMs ask for the same objects and their homes fill for a moment. Sent to
-    // any idle target, each request would run three times as long there and make
-    // that target forget another object: soon all targets are cold and full, and
-    // callers wait for seconds at a load that half of the slots could carry.
+  test("keeps its requests while it is full, although other targets are idle", () => {
+    // Ten VMs request the same objects, and their home targets are full for a
+    // moment. If requests went to any idle target, each would take three times as
+    // long there and evict another object from that target's cache. Soon all
+    // targets would be full of requests on uncached objects, and callers would wait
+    // for seconds at half load.
     const targets = targetsIn("north", 8);
     const steering = steeringIn("north", targets);
     const home = targetOf(place(steering, "draft"));
@@ -79,7 +80,7 @@
     expect(place(steering, "draft").kind).toBe("wait");
   });
 
-  test("is helped out by one agreed target when its queue is long", () => {
+  test("shares its requests with the same second target on all VMs when its queue is long", () => {
     const targets = targetsIn("north", 8);
     const steerings = [
       steeringIn("north", targets),
@@ -88,7 +89,7 @@
     const helpers = steerings.map((steering) => {
       const home = targetOf(place(steering, "draft"));
       steering.sent(home, 0);
-      answer(steering, home, { object: "draft", now: 100, waiting: 12 });
+      respond(steering, home, { object: "draft", now: 100, waiting: 12 });
       return targetOf(place(steering, "draft", 101));
     });
     expect(helpers[0]).toBe(helpers[1]);
@@ -97,10 +98,10 @@
     );
   });
 
-  test("lies in another region for what a small region has no room for", () => {
-    // A third of the callers live in a region with two of twenty-two targets. If
-    // all their objects had a home there, its targets would be the slowest and
-    // the fullest while others stand idle.
+  test("is in another region for objects that a small region has no capacity for", () => {
+    // A third of the callers are in a region with two of twenty-two targets. If all
+    // their objects had a home there, its targets would be the slowest and busiest
+    // while others are idle.
     const targets = [...targetsIn("north", 20), ...targetsIn("south", 2)];
     const steering = steeringIn("south", targets);
     const local = OBJECTS.filter((object) =>
@@ -112,10 +113,10 @@
 });
 
 describe("a region that loses half of its targets", () => {
-  test("is home to fewer objects until it has them back", () => {
-    // A zone is evacuated. If the rest of its region had to serve all of the region's
-    // objects, its requests would wait and be refused for as long as that lasts, while
-    // targets of other regions stand idle.
+  test("is home to fewer objects until the targets are usable again", () => {
+    // A zone is evacuated. If the other targets of its region had to serve all of
+    // the region's objects, requests would wait and be refused until the evacuation
+    // ends, while targets of other regions are idle.
     const targets = [
       ...targetsIn("north", 8),
       ...targetsIn("south", 4),
@@ -141,11 +142,11 @@
   });
 });
 
-describe("a request that finds no room", () => {
-  test("is told to come back at half of its time at the latest", () => {
-    // Its home stays full longer than expected, since more urgent requests keep
-    // coming. Held to the end of its time, it is refused when its caller has none
-    // left to try again.
+describe("a request without a target that has capacity", () => {
+  test("is refused with Retry-After when half of its time has passed at the latest", () => {
+    // The home target stays full longer than expected because more urgent requests
+    // keep arriving. If the request were queued until its deadline and then
+    // refused, its caller would have no time left for a retry.
     const steering = steeringIn("north", targetsIn("north", 1));
     const home = targetOf(place(steering, "draft"));
     for (let sent = 0; sent < 6; sent++) {
@@ -162,7 +163,7 @@
   });
 });
 
-describe("shares of regions", () => {
+describe("home shares of regions", () => {
   test("make the targets of all regions equally busy", () => {
     const regions = (values: Record<string, number>) =>
       new Map(Object.entries(values) as [RegionId, number][]);
@@ -179,8 +180,8 @@
   });
 });
 
-describe("targets that must not be used", () => {
-  test("get nothing while their zone is evacuated, they leave, or no route allows them", () => {
+describe("unusable targets", () => {
+  test("receive nothing while their zone is evacuated, while leaving, or if the route excludes their region", () => {
     const steering = steeringIn("north", [
       targetIn("north", "n"),
       targetIn("south", "s"),
--- a/packages/placement/src/cold_targets.ts
+++ b/packages/placement/src/cold_targets.ts
@@ -1,77 +1,79 @@
 /**
- * Limits what cold targets get from all VMs together.
+ * Limits the rate at which all VMs together send to cold targets.
  *
- * Answers the moment at which targets come back. A target that has just started
- * bears a few requests a second and crashes well above that. Each VM alone
- * stays below the limit, their sum does not, and one notices targets that crash
- * again seconds after their start. So only a target's owner sends to it while it
- * is cold. Where two VMs disagree for a moment on who that is, both together still
- * stay below the limit.
+ * A target that has just started tolerates a few requests per second and crashes
+ * well above that. If each VM applied this rate on its own, their sum would exceed
+ * it and targets would crash again seconds after their start. So only a target's
+ * owner sends to it while it is cold. If two VMs briefly both consider themselves
+ * the owner, their sum still stays below the rate at which targets crash.
  *
  * @module
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import { hasTurn } from "./turns.ts";
+import { hasUnusedSlice } from "./turns.ts";
 
 /**
- * Share of the tolerated rate that the owner uses. Two owners at once, as after
- * a VM's loss, then still stay below one and a half times the rate, which is
- * where targets begin to crash.
+ * Share of the tolerated rate that the owner uses. Two owners at once, as after the
+ * loss of a VM, then stay below one and a half times the rate, which is where
+ * targets begin to crash.
  */
 const OWNER_SHARE = 0.7;
 
-/** The part that an owner has in what a cold target bears. */
-export interface ColdPart {
-  /** The rate that the target tolerates. */
+/** The share of a cold target's tolerated rate that an owner may use. */
+export interface ColdShare {
+  /** Requests per second that the target tolerates. */
   readonly perSecond: number;
-  /** How much of an owner's rate it uses, 0 to 1. */
-  readonly share: number;
-  /** See {@link Turns}. */
+  /** Share of the owner's rate that this VM uses, 0 to 1. */
+  readonly ownerShare: number;
+  /** See {@link TimeSlices}. */
   readonly phase: number;
 }
 
-/** When a target stops being cold, and when its owner sent to it. */
+/** Tracks when targets stop being cold and when this VM last sent to each of them. */
 export class ColdTargets {
-  readonly #until = new Map<TargetId, number>();
-  readonly #sentAt = new Map<TargetId, number>();
+  readonly #coldUntil = new Map<TargetId, number>();
+  readonly #lastSentAt = new Map<TargetId, number>();
 
-  /** A target is cold until `until`, in milliseconds of the monotonic clock. */
+  /** Treats a target as cold until `until`, in milliseconds of the monotonic clock. */
   mark(target: TargetId, until: number): void {
-    this.#until.set(target, Math.max(until, this.#until.get(target) ?? 0));
+    this.#coldUntil.set(
+      target,
+      Math.max(until, this.#coldUntil.get(target) ?? 0),
+    );
   }
 
   /** Whether the target is cold. */
   isCold(target: TargetId, now: number): boolean {
-    const until = this.#until.get(target);
+    const until = this.#coldUntil.get(target);
     if (until === undefined) {
       return false;
     }
     if (now < until) {
       return true;
     }
-    this.#until.delete(target);
-    this.#sentAt.delete(target);
+    this.#coldUntil.delete(target);
+    this.#lastSentAt.delete(target);
     return false;
   }
 
-  /** Whether an owner may send one more request now. */
-  maySend(target: TargetId, now: number, part: ColdPart): boolean {
-    const sentAt = this.#sentAt.get(target) ?? -Infinity;
-    const perSecond = part.perSecond * OWNER_SHARE * part.share;
-    return part.share === 1
+  /** Whether the owner may send one more request now. */
+  maySend(target: TargetId, now: number, share: ColdShare): boolean {
+    const sentAt = this.#lastSentAt.get(target) ?? -Infinity;
+    const perSecond = share.perSecond * OWNER_SHARE * share.ownerShare;
+    return share.ownerShare === 1
       ? now - sentAt >= 1_000 / perSecond
-      : hasTurn({ perSecond, phase: part.phase }, { now, sentAt });
+      : hasUnusedSlice({ perSecond, phase: share.phase }, { now, sentAt });
   }
 
-  /** The owner sends one. */
+  /** Records that the owner sent a request. */
   sent(target: TargetId, now: number): void {
-    this.#sentAt.set(target, now);
+    this.#lastSentAt.set(target, now);
   }
 
-  /** The target is gone. */
-  forget(target: TargetId): void {
-    this.#until.delete(target);
-    this.#sentAt.delete(target);
+  /** Removes a target that no longer exists. */
+  remove(target: TargetId): void {
+    this.#coldUntil.delete(target);
+    this.#lastSentAt.delete(target);
   }
 }
--- a/packages/placement/src/drain_rate.ts
+++ b/packages/placement/src/drain_rate.ts
@@ -1,27 +1,28 @@
 /**
- * How long requests wait on this VM, from how fast its waiting ones go.
+ * Estimates how long requests wait on this VM from the rate at which its queue
+ * drains.
  *
- * Answers a load that lasts. A request that waits behind more urgent ones waits
- * for those that are still to come as well; computed from the slots alone, its
- * wait seems short, and it is held until its time has passed instead of being
- * refused at once. One notices reads that are refused after a second or more.
+ * Under sustained overload a request also waits for more urgent ones that arrive
+ * later. An estimate from the slots alone would be too short, and the request would
+ * be queued until its deadline instead of being refused at once: reads would be
+ * refused after a second or more.
  *
  * @module
  */
 
 import { WindowCount } from "./window_count.ts";
 
-/** Rates are counted over this time, in milliseconds: some five service times. */
+/** Window over which rates are counted: about five service times. */
 const WINDOW_MS = 1_000;
-/** Slowest rate that is believed, in requests a second: below it a wait says nothing. */
-const LEAST_RATE = 0.5;
+/** Lower bound of the rate: the wait can't be estimated below it. */
+const MIN_RATE_PER_SECOND = 0.5;
 
-/** Rates of one service on one VM. */
+/** Arrival and drain rates of one service on one VM. */
 export class DrainRate {
   readonly #sent = new WindowCount(WINDOW_MS);
   readonly #arrived = new Map<number, WindowCount>();
 
-  /** A request of `priority` came. */
+  /** Records the arrival of a request of `priority`. */
   arrived(priority: number, now: number): void {
     let count = this.#arrived.get(priority);
     if (count === undefined) {
@@ -31,14 +32,14 @@
     count.add(now);
   }
 
-  /** A request was sent to a target. */
+  /** Records that a request was sent to a target. */
   sent(now: number): void {
     this.#sent.add(now);
   }
 
   /**
-   * Expected wait of a request of `priority` behind `ahead` others, in
-   * milliseconds. More urgent requests that come meanwhile go before it.
+   * Expected wait in milliseconds of a request of `priority` with `ahead` others
+   * before it. More urgent requests that arrive meanwhile go before it.
    */
   waitMs(priority: number, { now, ahead }: { now: number; ahead: number }) {
     let rate = this.#sent.sum(now);
@@ -47,6 +48,6 @@
         rate -= count.sum(now);
       }
     }
-    return (ahead + 1) * WINDOW_MS / Math.max(LEAST_RATE, rate);
+    return (ahead + 1) * WINDOW_MS / Math.max(MIN_RATE_PER_SECOND, rate);
   }
 }
--- a/packages/placement/src/drain_rate_test.ts
+++ b/packages/placement/src/drain_rate_test.ts
@@ -1,5 +1,5 @@
 /**
- * How long waiting is expected to take.
+ * Expected wait of queued requests.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 const READ = 2;
 const PURCHASE = 0;
 
-/** A second in which `sent` requests went and `purchases` came. */
+/** One second in which `sent` requests were sent and `purchases` arrived. */
 function afterOneSecond(counts: { sent: number; purchases: number }) {
   const rate = new DrainRate();
   for (let at = 0; at < counts.sent; at++) {
@@ -22,17 +22,17 @@
   return rate;
 }
 
-test("a read waits for the purchases that come meanwhile, too", () => {
-  // Forty requests go each second, but thirty purchases come and go first. A read
-  // behind nine others that counts with all forty is held for its whole time and
-  // refused at its end, when its caller has none left to try again.
+test("the expected wait of a read includes purchases that arrive meanwhile", () => {
+  // Forty requests are sent each second, but thirty purchases arrive and go first.
+  // If a read with nine others ahead of it expected all forty, it would be queued
+  // until its deadline and then refused, with no time left for its caller to retry.
   const rate = afterOneSecond({ sent: 40, purchases: 30 });
-  const place = { now: 990, ahead: 9 };
-  expect(rate.waitMs(READ, place)).toBeCloseTo(1_000, -2);
-  expect(rate.waitMs(PURCHASE, place)).toBeCloseTo(250, -2);
+  const position = { now: 990, ahead: 9 };
+  expect(rate.waitMs(READ, position)).toBeCloseTo(1_000, -2);
+  expect(rate.waitMs(PURCHASE, position)).toBeCloseTo(250, -2);
 });
 
-test("where nothing goes, nobody is told to wait", () => {
+test("the expected wait is long if the queue does not drain", () => {
   const rate = afterOneSecond({ sent: 10, purchases: 10 });
   expect(rate.waitMs(READ, { now: 990, ahead: 0 })).toBeGreaterThan(1_500);
 });
--- a/packages/placement/src/fleet_retry_budget.ts
+++ b/packages/placement/src/fleet_retry_budget.ts
@@ -1,11 +1,10 @@
 /**
  * This VM's share of the retries that all VMs together may send to a service.
  *
- * Answers a storm of retries, like the token bucket of the decisions package,
- * for deployments that bound retries in any window over all VMs: a fixed number
- * besides a share of the requests. Each VM takes the share of its own requests
- * and its part of the fixed number. So the sum holds without a message, also
- * while VMs are cut off from each other.
+ * Prevents retry storms in deployments that bound retries in any window over all
+ * VMs by a share of the requests plus a fixed number. Each VM may use the share of
+ * its own requests and an equal part of the fixed number. The bound therefore holds
+ * without any messages, even during a network partition.
  *
  * @module
  */
@@ -14,21 +13,24 @@
 
 /** The bound over all VMs. */
 export interface RetryBound {
-  /** Retries for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
-  /** Retries besides, in each window. */
+  /** Retries allowed in each window in addition to the ratio. */
   readonly fixed: number;
   readonly windowMs: number;
 }
 
 /**
- * Part of the fixed number that is used. A VM that restarts has forgotten what
- * it used and may use its part again within the same window.
+ * Share of the fixed number that is used. A restarted VM does not know what it used
+ * before, and may use its part again within the same window.
  */
 const FIXED_SHARE = 0.45;
-/** Part of the ratio that is used: a VM's requests and retries fall into windows that differ by up to their service time. */
+/**
+ * Share of the ratio that is used: a VM's requests and their retries fall into
+ * windows that differ by up to the service time.
+ */
 const RATIO_SHARE = 0.8;
-/** The budget of one service on one VM. */
+/** The retry budget of one service on one VM. */
 export class FleetRetryBudget {
   readonly #bound: RetryBound;
   readonly #requests: WindowCount;
@@ -40,13 +42,16 @@
     this.#retries = new WindowCount(bound.windowMs);
   }
 
-  /** A caller's request for the service came. */
+  /** Records the arrival of a caller's request for the service. */
   arrived(now: number): void {
     this.#requests.add(now);
   }
 
-  /** Whether one more retry fits; if so, it is counted. `vms` is the number of VMs. */
-  spend(now: number, vms: number): boolean {
+  /**
+   * Takes one retry from the budget of this VM, one of `vms` VMs; false if the
+   * budget is used up.
+   */
+  trySpend(now: number, vms: number): boolean {
     const { ratio, fixed } = this.#bound;
     const allowed = this.#requests.sum(now) * ratio * RATIO_SHARE +
       fixed * FIXED_SHARE / Math.max(1, vms);
--- a/packages/placement/src/hash.ts
+++ b/packages/placement/src/hash.ts
@@ -1,5 +1,5 @@
 /**
- * The hash by which all VMs rank targets alike without talking to each other.
+ * Hash functions with which all VMs rank targets alike without exchanging messages.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A 32-bit hash of `text` (FNV-1a, then mixed). */
+/** A 32-bit hash of `text`: FNV-1a followed by a finalizer. */
 export function hashText(text: string): number {
   let hash = FNV_OFFSET;
   for (let at = 0; at < text.length; at++) {
@@ -16,7 +16,7 @@
   return mix(hash);
 }
 
-/** The rendezvous weight of one pair; the pair with the largest one wins. */
+/** The rendezvous weight of a pair; the pair with the highest weight wins. */
 export function pairWeight(left: number, right: number): number {
   return mix(left ^ Math.imul(right, 0x9e3779b1));
 }
--- a/packages/placement/src/home_shares.ts
+++ b/packages/placement/src/home_shares.ts
@@ -1,35 +1,38 @@
 /**
- * How many objects have a home in each region.
+ * Share of objects that have their home in each region.
  *
- * Answers regions with many callers and few targets. If every object had a home
- * there, the region's few targets would be asked for more objects than they keep
- * and for more work than they have slots, so that each request would find them
- * cold: one notices a region whose targets are the slowest and the fullest. Here
- * a region is home to as many objects as makes its targets as busy as all
- * others; its callers' other requests go to warm targets of other regions.
+ * A region may have many callers but few targets. If every object had a home there,
+ * the region's targets would be asked for more objects than they can cache and for
+ * more work than they have slots. Each request would find its object uncached, and
+ * the region's targets would be the slowest and busiest of all. So a region is home
+ * to only as many objects as make its targets as busy as those of other regions;
+ * other requests of its callers go to warm targets of other regions.
  *
  * @module
  */
 
 import type { RegionId } from "@poplarthread/ids";
 
-/** What shares are computed from: slots of a service and VMs, by region. */
-export interface HomeShareBasis {
+/** Slots of a service and VMs, by region. */
+export interface HomeShareParams {
   readonly slots: ReadonlyMap<RegionId, number>;
-  /** VMs stand for callers: operators place them where the callers are. */
+  /**
+   * The number of VMs stands in for the number of callers: operators place VMs
+   * where the callers are.
+   */
   readonly vms: ReadonlyMap<RegionId, number>;
 }
 
-/** The share of all objects that has a home in each region, 0 to 1. */
+/** The share of all objects that have a home in each region, 0 to 1. */
 export function homeShares(
-  { slots, vms }: HomeShareBasis,
+  { slots, vms }: HomeShareParams,
 ): ReadonlyMap<RegionId, number> {
   const allSlots = sum(slots);
   const allVms = sum(vms);
   const shares = new Map<RegionId, number>();
-  for (const [region, count] of slots) {
+  for (const [region, regionSlots] of slots) {
     const callers = (vms.get(region) ?? 0) / Math.max(1, allVms);
-    const share = callers === 0 ? 1 : count / allSlots / callers;
+    const share = callers === 0 ? 1 : regionSlots / allSlots / callers;
     shares.set(region, Math.min(1, share));
   }
   return shares;
--- a/packages/placement/src/kind_times.ts
+++ b/packages/placement/src/kind_times.ts
@@ -1,37 +1,49 @@
 /**
- * How much longer a target takes for a request on an object that it does not
- * keep, by kind of request.
+ * Time that a target saves on a request if it has the object cached, by kind of
+ * request.
  *
- * Answers kinds that differ widely: one is done in 40 ms on a target that keeps its
- * object and in 140 ms on another, the next one in 260 and 880 ms. With one price
- * for a target that does not keep the object, the short kind waits behind queues
- * rather than run elsewhere at once, and the long one takes slots from all others;
- * one notices whichever kind the price does not fit by its late answers.
+ * Kinds of requests differ widely: one takes 40 ms with the object cached and 140
+ * ms without, another one 260 and 880 ms. If uncached targets had the same cost for
+ * all kinds, short requests would wait in queues rather than run elsewhere at once,
+ * and long ones would take slots from all others. Responses would be late for
+ * whichever kind the cost doesn't fit.
  *
  * @module
  */
 
-/** Newest samples that the median is taken of: some seconds of a busy kind. */
-const KEPT_SAMPLES = 48;
-/** Fewer samples say nothing. */
-const LEAST_SAMPLES = 3;
-/** The median is taken anew each so many samples; sorting at each would cost more than it tells. */
-const MEDIAN_EVERY = 8;
-/** Taken until measured, in milliseconds. */
-const GUESS_MS = 300;
-/** Share of the time without the object that is saved with it, until that was measured. */
-const GUESS_SAVED = 0.6;
-/** The least share that is believed: most kinds have no affinity if nothing is saved by it. */
-const LEAST_SAVED = 0.3;
+/** Newest samples that the median is computed from: some seconds of a frequent kind. */
+const MAX_SAMPLES = 48;
+/** Minimum number of samples for a usable median. */
+const MIN_SAMPLES = 3;
+/**
+ * The median is recomputed after this many samples; sorting for each one would cost
+ * more than it gains.
+ */
+const MEDIAN_INTERVAL_SAMPLES = 8;
+/** Used until the saved time is known. */
+const DEFAULT_SAVED_MS = 300;
+/**
+ * Share of the uncached time that is assumed to be saved until the cached time is
+ * known.
+ */
+const DEFAULT_SAVED_SHARE = 0.6;
+/**
+ * Minimum share of the uncached time that counts as saved. It keeps requests at
+ * their home target even if caching saves nothing for their kind.
+ */
+const MIN_SAVED_SHARE = 0.3;
 
-/** The median of the newest samples. Unlike a mean, it is not moved by a slow target or a wrong belief. */
+/**
+ * Median of the newest samples. Unlike a mean it is not affected by a slow target
+ * or by a few objects wrongly assumed to be cached.
+ */
 class RunningMedian {
   readonly #samples: number[] = [];
   #count = 0;
   #median = 0;
 
   get isKnown(): boolean {
-    return this.#count >= LEAST_SAMPLES;
+    return this.#count >= MIN_SAMPLES;
   }
 
   get value(): number {
@@ -39,44 +51,50 @@
   }
 
   add(sample: number): void {
-    this.#samples[this.#count % KEPT_SAMPLES] = sample;
+    this.#samples[this.#count % MAX_SAMPLES] = sample;
     this.#count += 1;
-    if (this.#count <= MEDIAN_EVERY || this.#count % MEDIAN_EVERY === 0) {
+    if (
+      this.#count <= MEDIAN_INTERVAL_SAMPLES ||
+      this.#count % MEDIAN_INTERVAL_SAMPLES === 0
+    ) {
       const sorted = this.#samples.toSorted((a, b) => a - b);
       this.#median = sorted[Math.floor(sorted.length / 2)]!;
     }
   }
 }
 
-/** Times of one kind, in milliseconds. */
+/** Times of one kind in milliseconds. */
 interface Times {
   readonly warm: RunningMedian;
-  readonly cold: RunningMedian;
+  readonly unwarmed: RunningMedian;
 }
 
-/** See the module's comment. */
+/** Median times by kind of request. */
 export class KindTimes {
   readonly #times = new Map<string, Times>();
 
-  /** A target that was taken to keep the object, or not to, answered after `ms`, less the round trip. */
-  measured(kind: string, ms: number, isWarm: boolean): void {
+  /**
+   * Records a response time without the round trip; `isWarm` if the target was
+   * assumed to have the object cached.
+   */
+  record(kind: string, ms: number, isWarm: boolean): void {
     let times = this.#times.get(kind);
     if (times === undefined) {
-      times = { warm: new RunningMedian(), cold: new RunningMedian() };
+      times = { warm: new RunningMedian(), unwarmed: new RunningMedian() };
       this.#times.set(kind, times);
     }
-    (isWarm ? times.warm : times.cold).add(Math.max(1, ms));
+    (isWarm ? times.warm : times.unwarmed).add(Math.max(1, ms));
   }
 
-  /** What a target that keeps the object saves, in milliseconds. */
+  /** Time in milliseconds that a target with the object cached saves. */
   savedMs(kind: string): number {
     const times = this.#times.get(kind);
-    if (times === undefined || !times.cold.isKnown) {
-      return GUESS_MS;
+    if (times === undefined || !times.unwarmed.isKnown) {
+      return DEFAULT_SAVED_MS;
     }
-    const cold = times.cold.value;
+    const unwarmed = times.unwarmed.value;
     return times.warm.isKnown
-      ? Math.max(cold - times.warm.value, cold * LEAST_SAVED)
-      : cold * GUESS_SAVED;
+      ? Math.max(unwarmed - times.warm.value, unwarmed * MIN_SAVED_SHARE)
+      : unwarmed * DEFAULT_SAVED_SHARE;
   }
 }
--- a/packages/placement/src/kind_times_test.ts
+++ b/packages/placement/src/kind_times_test.ts
@@ -7,39 +7,39 @@
   times = new KindTimes();
 });
 
-function measure(kind: string, { warmMs, coldMs }: {
+function recordSamples(kind: string, { warmMs, unwarmedMs }: {
   warmMs: number;
-  coldMs: number;
+  unwarmedMs: number;
 }): void {
   for (let at = 0; at < 50; at++) {
-    times.measured(kind, warmMs, true);
-    times.measured(kind, coldMs, false);
+    times.record(kind, warmMs, true);
+    times.record(kind, unwarmedMs, false);
   }
 }
 
-test("what an object saves is told by kind", () => {
-  measure("short", { warmMs: 43, coldMs: 144 });
-  measure("long", { warmMs: 264, coldMs: 880 });
+test("the time saved by a cached object is tracked by kind", () => {
+  recordSamples("short", { warmMs: 43, unwarmedMs: 144 });
+  recordSamples("long", { warmMs: 264, unwarmedMs: 880 });
   expect(times.savedMs("short")).toBe(101);
   expect(times.savedMs("long")).toBe(616);
 });
 
-test("a slow target and a wrong belief now and then change nothing", () => {
-  measure("short", { warmMs: 43, coldMs: 144 });
+test("a few slow targets and wrong cache assumptions don't change the saved time", () => {
+  recordSamples("short", { warmMs: 43, unwarmedMs: 144 });
   for (let at = 0; at < 10; at++) {
-    times.measured("short", 2_000, true);
-    times.measured("short", 43, false);
+    times.record("short", 2_000, true);
+    times.record("short", 43, false);
   }
   expect(times.savedMs("short")).toBe(101);
 });
 
-test("a kind that is not known yet is taken for a usual one", () => {
+test("a kind with too few samples has the default saved time", () => {
   expect(times.savedMs("new")).toBe(300);
-  times.measured("new", 1_000, false);
+  times.record("new", 1_000, false);
   expect(times.savedMs("new")).toBe(300);
 });
 
-test("a kind whose times do not differ still prefers its home", () => {
-  measure("alike", { warmMs: 100, coldMs: 100 });
+test("a kind whose times don't differ still prefers its home target", () => {
+  recordSamples("alike", { warmMs: 100, unwarmedMs: 100 });
   expect(times.savedMs("alike")).toBe(30);
 });
--- a/packages/placement/src/limits_test.ts
+++ b/packages/placement/src/limits_test.ts
@@ -17,21 +17,21 @@
 
 const TARGET = "t" as TargetId;
 const COLD_PER_SECOND = 5;
-/** An owner that hears most VMs. */
-const WHOLE = { perSecond: COLD_PER_SECOND, share: 1, phase: 0 };
-/** Above this many requests in a second, cold targets crash. */
-const COLD_MOST = COLD_PER_SECOND * 1.5 + 5;
+/** The share of an owner that can reach most VMs. */
+const FULL_SHARE = { perSecond: COLD_PER_SECOND, ownerShare: 1, phase: 0 };
+/** Cold targets crash above this rate. */
+const MAX_COLD_PER_SECOND = COLD_PER_SECOND * 1.5 + 5;
 
 describe("cold targets", () => {
-  test("stay below what they bear while two VMs take themselves for the owner", () => {
-    // A VM has just died and the others do not know it alike, so two of them send
-    // to a target that has just come back. If both used its whole rate, it would
-    // crash again, and callers would get nothing from it for seconds more.
+  test("receive no more than they tolerate while two VMs consider themselves the owner", () => {
+    // A VM has just failed, and the others have not all noticed yet, so two VMs
+    // send to a target that has just started. If both used its full rate, it would
+    // crash again and be unavailable for some more seconds.
     const owners = [new ColdTargets(), new ColdTargets()];
     const sentAt: number[] = [];
     for (let now = 0; now < 3_000; now += 1) {
       for (const owner of owners) {
-        if (owner.maySend(TARGET, now, WHOLE)) {
+        if (owner.maySend(TARGET, now, FULL_SHARE)) {
           owner.sent(TARGET, now);
           sentAt.push(now);
         }
@@ -42,32 +42,35 @@
         sentAt.filter((at) => at >= from && at < from + 1_000).length
       ),
     );
-    expect(worst).toBeLessThanOrEqual(COLD_MOST);
+    expect(worst).toBeLessThanOrEqual(MAX_COLD_PER_SECOND);
     expect(sentAt.length).toBeGreaterThan(COLD_PER_SECOND * 2);
   });
 
-  test("have one owner, of their own region if there is a VM", () => {
+  test("have one owner, in their region if it has a VM", () => {
     fc.assert(fc.property(
       fc.uniqueArray(fc.stringMatching(/^[a-z]{1,8}$/), { minLength: 1 }),
       fc.string(),
-      (names, target) => {
+      (names, targetName) => {
         const vms = names.map((name, at) => ({
           vm: name as VmId,
           region: (at % 2 === 0 ? "north" : "south") as RegionId,
           hash: hashText(name),
         }));
-        const place = { hash: hashText(target), region: "north" as RegionId };
-        const owner = ownerOf(place, vms);
-        expect(ownerOf(place, vms.toReversed())).toBe(owner);
+        const target = {
+          hash: hashText(targetName),
+          region: "north" as RegionId,
+        };
+        const owner = ownerOf(target, vms);
+        expect(ownerOf(target, vms.toReversed())).toBe(owner);
         expect(vms.find(({ vm }) => vm === owner)!.region).toBe("north");
       },
     ));
   });
 });
 
-test("a cold target that comes back elsewhere under its id has its owner there", () => {
-  // VMs that learned of it at different times would take different ones of them for
-  // its owner for as long as it is listed.
+test("a cold target that moves to another region has its owner there", () => {
+  // With a cached owner, VMs that learned of the target at different times would
+  // disagree on its owner for as long as it is listed.
   const steering = steeringIn("north", [targetIn("north", "t-0")]);
   const decide = (now: number) =>
     steering.place(requestFor("a", { now }), { now, ahead: 0 }).kind;
@@ -77,14 +80,14 @@
   expect(decide(5_000)).not.toBe("send");
 });
 
-describe("the budget for retries", () => {
+describe("the retry budget", () => {
   const BOUND = { ratio: 0.2, fixed: 50, windowMs: 10_000 };
   const VMS = 9;
 
-  test("holds over all VMs in any window, though each counts alone", () => {
-    // Every target fails for a while and each VM tries all its requests again.
-    // Without a bound that holds for all VMs together, the retries double the
-    // load, and the service stays down after the fault has ended.
+  test("holds over all VMs in any window, although each counts on its own", () => {
+    // Every target fails for a while, and each VM retries all its requests. Without
+    // a bound over all VMs, the retries would double the load, and the service
+    // would stay down after the fault has ended.
     fc.assert(
       fc.property(
         fc.array(fc.integer({ min: 1, max: 400 }), {
@@ -99,7 +102,7 @@
             for (let now = 0; now < 20_000; now += gap) {
               budget.arrived(now);
               requests.push(now);
-              if (budget.spend(now, VMS)) {
+              if (budget.trySpend(now, VMS)) {
                 retries.push(now);
               }
             }
@@ -118,13 +121,13 @@
   });
 
   test("still holds when every VM restarts within the window", () => {
-    const lives = Array.from(
+    const budgets = Array.from(
       { length: 2 * VMS },
       () => new FleetRetryBudget(BOUND),
     );
-    const spent = lives.map((life) => {
+    const spent = budgets.map((budget) => {
       let count = 0;
-      while (life.spend(0, VMS)) {
+      while (budget.trySpend(0, VMS)) {
         count += 1;
       }
       return count;
@@ -162,7 +165,7 @@
     ));
   });
 
-  test("sends nothing to a part without weight", () => {
+  test("sends nothing to a part with weight 0", () => {
     const split = new WeightedSplit([
       { service: "old" as ServiceId, weight: 0 },
       { service: "new" as ServiceId, weight: 1 },
@@ -172,15 +175,15 @@
   });
 });
 
-describe("requests that wait", () => {
-  test("go by rank, then those that can still be in time, then as they came", () => {
-    const room = new WaitingRoom();
+describe("queued requests", () => {
+  test("are ordered by priority, then by whether they can meet their latency objective, then by arrival", () => {
+    const queue = new WaitingRoom();
     const account = undefined;
     const read = { priority: 2, aimAt: 500, account };
     const lateOrder = { priority: 0, aimAt: 50, account };
     const order = { priority: 0, aimAt: 400, account };
     const second = { priority: 0, aimAt: 300, account };
-    [read, lateOrder, order, second].forEach((one) => room.add(one));
-    expect(room.inOrder(100)).toEqual([order, second, lateOrder, read]);
+    [read, lateOrder, order, second].forEach((one) => queue.add(one));
+    expect(queue.inOrder(100)).toEqual([order, second, lateOrder, read]);
   });
 });
--- a/packages/placement/src/load_of_kinds_test.ts
+++ b/packages/placement/src/load_of_kinds_test.ts
@@ -1,6 +1,6 @@
 /**
- * What callers of short and long requests get from targets that they share, and
- * when a target counts as full.
+ * Placement of short and long requests on shared targets, and when a target counts
+ * as full.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 import type { Steering } from "./steering.ts";
 import { requestFor, steeringIn, targetOf, targetsIn } from "./testing.ts";
 
-/** Times of a short and a long kind on targets that keep the object and that do not, in milliseconds. */
-const TIMES = {
+/** Times of a short and a long kind with and without the object cached. */
+const TIMES_MS = {
   short: { warm: 43, unwarmed: 144 },
   long: { warm: 264, unwarmed: 880 },
 } as const;
-type Kind = keyof typeof TIMES;
+type Kind = keyof typeof TIMES_MS;
 
 let steering: Steering;
 let now: number;
@@ -31,8 +31,8 @@
   return steering.place(requestFor(object, { now, kind }), { now, ahead: 0 });
 }
 
-/** A target answers a request of a kind; `waiting` others wait there. */
-function answer(target: TargetId, options: {
+/** Simulates a target's response; `waiting` other requests wait there. */
+function respond(target: TargetId, options: {
   kind: Kind;
   object: string;
   warmth: Exclude<Warmth, "unknown">;
@@ -41,7 +41,7 @@
   const { kind, object, warmth, waiting = 0 } = options;
   const writtenAt = now;
   steering.sent(target, writtenAt);
-  now += TIMES[kind][warmth];
+  now += TIMES_MS[kind][warmth];
   steering.ended(target, {
     kind: "answered",
     failed: false,
@@ -57,25 +57,26 @@
     for (const kind of ["short", "long"] as const) {
       const object = `${kind} object`;
       const home = targetOf(place(kind, object));
-      answer(home, { kind, object, warmth: "warm" });
-      answer(home, { kind, object, warmth: "unwarmed" });
+      respond(home, { kind, object, warmth: "warm" });
+      respond(home, { kind, object, warmth: "unwarmed" });
     }
   }
 }
 
 describe("two kinds that share targets", () => {
   // A short and a long kind have their homes on targets with a long queue. The
-  // short one is done elsewhere before its turn would come, at the cost of 100 ms of a
-  // slot; the long one would hold that slot for 600 ms longer. With one price for
-  // both, the short one waits, and its callers get their answers late.
-  test("are sent away from a full home by what that costs each of them", () => {
+  // short request completes elsewhere before a slot at home would be free, at the
+  // cost of 100 ms of a slot; the long one would occupy a slot for 600 ms longer.
+  // With the same cost for both kinds, the short request would wait and its
+  // response be late.
+  test("leave a full home target depending on the cost for their kind", () => {
     learnTimes();
     const homes = { short: "", long: "" };
     for (const kind of ["short", "long"] as const) {
       const object = `${kind} object`;
       const home = targetOf(place(kind, object));
       homes[kind] = home;
-      answer(home, { kind, object, warmth: "warm", waiting: 3 });
+      respond(home, { kind, object, warmth: "warm", waiting: 3 });
     }
     expect(targetOf(place("short", "short object"))).not.toBe(homes.short);
     expect(place("long", "long object")).not.toMatchObject({
@@ -86,12 +87,12 @@
 });
 
 describe("a target", () => {
-  // Another VM's requests were at the target when it last answered. What is left
-  // of that report fades to a hundredth of a request, but never to none. If that
-  // took the last place, requests would wait beside a place that is free.
-  test("has room where what is told of others has faded", () => {
+  // Another VM's requests were at the target when it last responded. The estimate
+  // from that report decays to a hundredth of a request, but never to zero. If that
+  // occupied the last place, requests would wait beside a free one.
+  test("has capacity when the reported load of other VMs has decayed", () => {
     const home = targetOf(place("short", "draft"));
-    answer(home, {
+    respond(home, {
       kind: "short",
       object: "draft",
       warmth: "warm",
@@ -107,7 +108,7 @@
     });
   });
 
-  test("has no room for a sixth request on three slots", () => {
+  test("has no capacity for a sixth request on three slots", () => {
     const home = targetOf(place("short", "draft"));
     for (let sent = 0; sent < 5; sent++) {
       steering.sent(home, now);
--- a/packages/placement/src/long_runs_test.ts
+++ b/packages/placement/src/long_runs_test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests that run for as long as a silent target would be waited for.
+ * Requests that run for about as long as the timeout for unresponsive targets.
  *
  * @module
  */
@@ -9,27 +9,30 @@
 import type { Steering } from "./steering.ts";
 import { requestFor, steeringIn, targetOf, targetsIn } from "./testing.ts";
 
-/** How long callers of such requests wait, in milliseconds. */
+/** Deadline of the callers' requests. */
 const DEADLINE_MS = 6_000;
-/** How often targets are looked at, in milliseconds. */
-const LOOK_MS = 200;
+/** How often targets are checked. */
+const CHECK_INTERVAL_MS = 200;
 
 interface Load {
-  /** Time of a run, in milliseconds. */
+  /** Service time of a request. */
   readonly runMs: number;
-  /** Time between requests, in milliseconds. */
+  /** Time between requests. */
   readonly everyMs: number;
   readonly untilMs: number;
-  /** The target that answers nothing from `at` on. */
-  readonly dead?: { readonly id: TargetId; readonly at: number };
+  /** The target that sends no responses from `at` on. */
+  readonly unresponsive?: { readonly id: TargetId; readonly at: number };
 }
 
-/** Plays requests for objects that each come once; returns when targets were taken out. */
-function play(
+/**
+ * Simulates requests for distinct objects; returns which targets were taken out of
+ * use, and when.
+ */
+function run(
   steering: Steering,
-  { runMs, everyMs, untilMs, dead }: Load,
+  { runMs, everyMs, untilMs, unresponsive }: Load,
 ): readonly { readonly id: TargetId; readonly at: number }[] {
-  const out: { id: TargetId; at: number }[] = [];
+  const takenOut: { id: TargetId; at: number }[] = [];
   const running: { id: TargetId; sentAt: number }[] = [];
   for (let now = 0; now <= untilMs; now += 10) {
     if (now % everyMs === 0) {
@@ -43,8 +46,9 @@
       }
     }
     for (const run of running.filter(({ sentAt }) => now - sentAt === runMs)) {
-      const isDead = run.id === dead?.id && now >= dead.at;
-      if (!isDead) {
+      const isUnresponsive = run.id === unresponsive?.id &&
+        now >= unresponsive.at;
+      if (!isUnresponsive) {
         steering.ended(run.id, {
           kind: "answered",
           load: { running: 1, waiting: 0, slots: 3 },
@@ -55,50 +59,58 @@
         }, { now, writtenAt: run.sentAt });
       }
     }
-    if (now % LOOK_MS === 0) {
-      steering.checkSilence(now).forEach((id) => out.push({ id, at: now }));
+    if (now % CHECK_INTERVAL_MS === 0) {
+      steering.checkSilence(now).forEach((id) =>
+        takenOut.push({ id, at: now })
+      );
     }
   }
-  return out;
+  return takenOut;
 }
 
-describe("targets whose runs take 1.9 s", () => {
-  test("are not taken for silent, from the first request on", () => {
-    // A service works for 1.9 s on an object that it does not keep. Taken out after
-    // 1.3 s, each target that works is missing to the next request, which then runs
-    // as long on another one; callers wait behind targets that are said to be broken.
+describe("targets whose requests take 1.9 s", () => {
+  test("are not considered unresponsive, from the first request on", () => {
+    // Requests on uncached objects take 1.9 s. If working targets were taken out
+    // after 1.3 s, the next requests would take as long on other targets, and
+    // callers would wait while healthy targets are considered unresponsive.
     const steering = steeringIn("north", targetsIn("north", 12));
-    const out = play(steering, { runMs: 1_900, everyMs: 100, untilMs: 20_000 });
-    expect(out).toEqual([]);
+    const takenOut = run(steering, {
+      runMs: 1_900,
+      everyMs: 100,
+      untilMs: 20_000,
+    });
+    expect(takenOut).toEqual([]);
   });
 
-  test("are found silent before what was sent there has run out of its time", () => {
-    // A target loses its power. Until it is found silent, requests are sent there, and
-    // each of them fails at its deadline.
+  test("are found unresponsive before the deadline of the requests sent there", () => {
+    // A target loses power. Until it is found unresponsive, requests are sent
+    // there, and each of them fails at its deadline.
     const targets = targetsIn("north", 12);
     const steering = steeringIn("north", targets);
-    const dead = { id: targets[3]!.id, at: 6_000 };
-    const out = play(steering, {
+    const unresponsive = { id: targets[3]!.id, at: 6_000 };
+    const takenOut = run(steering, {
       runMs: 1_900,
       everyMs: 100,
       untilMs: 14_000,
-      dead,
+      unresponsive,
     });
-    expect(out.map(({ id }) => id)).toEqual([dead.id]);
-    expect(out[0]!.at - dead.at).toBeLessThan(DEADLINE_MS);
+    expect(takenOut.map(({ id }) => id)).toEqual([unresponsive.id]);
+    expect(takenOut[0]!.at - unresponsive.at).toBeLessThan(DEADLINE_MS);
   });
 });
 
-test("a silent target of a quick service is found as soon as before", () => {
+test("an unresponsive target of a fast service is found after the minimum time", () => {
   const targets = targetsIn("north", 6);
   const steering = steeringIn("north", targets);
-  const dead = { id: targets[3]!.id, at: 3_000 };
-  const out = play(steering, {
+  const unresponsive = { id: targets[3]!.id, at: 3_000 };
+  const takenOut = run(steering, {
     runMs: 200,
     everyMs: 50,
     untilMs: 6_000,
-    dead,
+    unresponsive,
   });
-  expect(out.map(({ id }) => id)).toEqual([dead.id]);
-  expect(out[0]!.at - dead.at).toBeLessThan(1_300 + 2 * LOOK_MS);
+  expect(takenOut.map(({ id }) => id)).toEqual([unresponsive.id]);
+  expect(takenOut[0]!.at - unresponsive.at).toBeLessThan(
+    1_300 + 2 * CHECK_INTERVAL_MS,
+  );
 });
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,14 +1,14 @@
 /**
- * Placement of requests that all VMs compute alike.
+ * Placement of requests on targets, computed consistently by all VMs.
  *
  * @module
  */
 
 export {
   CreditBucket,
-  type CreditKeeper,
   type CreditLimit,
   creditLimit,
+  type CreditOwner,
   KEEPER_PARTS,
   keepersOf,
   partOf,
@@ -20,7 +20,7 @@
   choose,
   DEFAULT_WEIGHTS,
   type PlacementWeights,
-  type TargetPrice,
+  type TargetCosts,
 } from "./choose.ts";
 export { ColdTargets } from "./cold_targets.ts";
 export { FleetRetryBudget, type RetryBound } from "./fleet_retry_budget.ts";
@@ -34,7 +34,7 @@
 export { RoundTrips } from "./round_trips.ts";
 export { ServiceTimes } from "./service_times.ts";
 export type { Place, PlacedTarget, SteeredTarget } from "./target.ts";
-export { type Standing, TargetBelief } from "./target_belief.ts";
+export { type HealthState, TargetHealth } from "./target_belief.ts";
 export type { NamedLimit } from "./target_limits.ts";
 export { type LoadReport, TargetLoad } from "./target_load.ts";
 export { ownerOf, type TargetOwner } from "./target_owners.ts";
--- a/packages/placement/src/placement.ts
+++ b/packages/placement/src/placement.ts
@@ -1,5 +1,5 @@
 /**
- * What is asked of placement, what it decides, and what it is told of the outcome.
+ * Input and output of placement: requests, decisions, and the outcomes of attempts.
  *
  * @module
  */
@@ -7,32 +7,38 @@
 import type { RegionId, ServiceId, TargetId } from "@poplarthread/ids";
 import type { LoadReport } from "./target_load.ts";
 
-/** A request as far as its placement goes. */
+/** The properties of a request that its placement depends on. */
 export interface PlacementRequest {
   readonly service: ServiceId;
-  /** Requests of one kind take about as long: the name of its route. */
+  /** Name of its route. Requests of one kind take similar time. */
   readonly kind: string;
-  /** Rank of its route; 0 goes first. */
+  /** Priority rank of its route; 0 is the most urgent. */
   readonly priority: number;
-  /** Hash of the object that it concerns; undefined where requests are all alike. */
+  /**
+   * Hash of the object that the request concerns; undefined if targets cache
+   * nothing for it.
+   */
   readonly object: number | undefined;
-  /** Regions in which it may run; empty for all. */
+  /** Regions in which it may run; empty for all regions. */
   readonly regions: readonly RegionId[];
   readonly arrivedAt: number;
-  /** When its caller or its route stops waiting. */
+  /** When the timeout of its caller or of its route expires. */
   readonly answerBy: number;
-  /** Targets that it must not go to again. */
+  /** Targets that must not receive it again. */
   readonly tried: ReadonlySet<TargetId>;
 }
 
-/** Whether a target was taken to keep the object of a request that was sent to it. */
+/**
+ * Whether the target was assumed to have the request's object cached when the
+ * request was sent to it.
+ */
 export type Warmth = "warm" | "unwarmed" | "unknown";
 
 /** Why a request is refused. */
 export type PlacementRefusal =
-  /** No target of the service may be used. */
+  /** No target of the service is usable. */
   | "no-target"
-  /** It would get its answer too late. */
+  /** Its response is expected too late. */
   | "overload";
 
 /** What happens to a request now. */
@@ -50,7 +56,7 @@
     readonly retryAfterMs: number;
   };
 
-/** How an attempt ended, as far as it says something about its target. */
+/** How an attempt ended, as far as it affects the view of its target. */
 export type AttemptResult =
   | {
     readonly kind: "answered";
@@ -58,11 +64,11 @@
     /** The target failed the request or refused to run it. */
     readonly failed: boolean;
     readonly object: number | undefined;
-    /** Kind of the request. */
+    /** Kind of the request; see {@link PlacementRequest.kind}. */
     readonly requestKind: string;
     readonly warmth: Warmth;
   }
-  /** The connection broke off before the answer was whole. */
+  /** The connection broke before the response was complete. */
   | { readonly kind: "broke" }
-  /** This VM broke it off. */
+  /** This VM aborted the attempt. */
   | { readonly kind: "abandoned" };
--- a/packages/placement/src/relays.ts
+++ b/packages/placement/src/relays.ts
@@ -1,73 +1,87 @@
 /**
- * Decides which VM asks which other for the news of the platform's store.
+ * Decides which VMs relay changes of the platform's store to others.
  *
- * Answers the load of a large fleet on the store. Calls are paid for one by one, and
- * VMs that each wait for changes themselves make most of them without any news. So one VM of each region asks the store, and the others ask it.
+ * In a large fleet the store's load has to be limited: calls are paid for one by
+ * one, and if each VM waited for changes itself, most calls would return none. So
+ * one VM of each region queries the store, and the others query that VM.
  *
- * All VMs compute the same ranking. A VM asks only VMs that rank above it, so
- * that two VMs that see the fleet differently never wait for each other.
+ * All VMs compute the same ranking. A VM queries only VMs that rank above it, so
+ * that two VMs with different views of the fleet never wait for each other.
  *
  * @module
  */
 
 import type { RegionId, VmId } from "@poplarthread/ids";
 
-/** A VM that may pass news on. */
+/** A VM that can relay changes. */
 export interface RelayCandidate {
   readonly vm: VmId;
   readonly region: RegionId;
-  /** Processor that it has, in cores. */
+  /** Number of CPU cores. */
   readonly cores: number;
-  /** Hash of its name. */
+  /** Hash of the VM's name. */
   readonly hash: number;
 }
 
 /**
- * VMs that one VM may ask. With two, the loss of the first one makes the second
- * the only one that begins to ask the store.
+ * Relays that one VM may query. With two, if the first one fails, only the second
+ * one starts to query the store.
  */
-const MOST_RELAYS = 2;
+const MAX_RELAYS = 2;
 
-/** VMs of its region that `self` may ask, best first; none where it has to ask the store itself. */
+/**
+ * Relays in its region that `self` may query, best first; none if it must query the
+ * store itself.
+ */
 export function relaysFor<T extends RelayCandidate>(
   self: RelayCandidate,
-  up: readonly T[],
+  reachable: readonly T[],
 ): readonly T[] {
-  return rankedAbove(self, up.filter(({ region }) => region === self.region))
-    .slice(0, MOST_RELAYS);
+  return rankedAbove(
+    self,
+    reachable.filter(({ region }) => region === self.region),
+  )
+    .slice(0, MAX_RELAYS);
 }
 
-/** VMs of its region and of each other one to which a VM turns that nobody else tells anything. */
-const MOST_FALLBACKS = 2;
+/** Fallback peers in each region. */
+const MAX_FALLBACKS_PER_REGION = 2;
 
 /**
- * VMs that `self` may ask while the store turns it away and it has no other to ask,
- * best first. They rank below it or stand in other regions, so they may be asking it
- * at the same time: it must not wait for what they wait for.
+ * Fallback peers that `self` may query while the store refuses its calls and it has
+ * no relay, best first. They rank below `self` or are in other regions, so they may
+ * be querying it at the same time: it must not wait for anything that they wait
+ * for.
  */
 export function fallbacksFor<T extends RelayCandidate>(
   self: RelayCandidate,
-  up: readonly T[],
+  reachable: readonly T[],
 ): readonly T[] {
-  const others = up
-    .filter((one) => rank(one, self) > 0 || one.region !== self.region)
-    .toSorted(rank);
+  const others = reachable
+    .filter((one) => compareRank(one, self) > 0 || one.region !== self.region)
+    .toSorted(compareRank);
   const regions = new Set([self.region, ...others.map(({ region }) => region)]);
   return [...regions].flatMap((region) =>
-    others.filter((one) => one.region === region).slice(0, MOST_FALLBACKS)
+    others.filter((one) => one.region === region).slice(
+      0,
+      MAX_FALLBACKS_PER_REGION,
+    )
   );
 }
 
-/** Those of `vms` that rank above `self`, best first. */
+/** The VMs that rank above `self`, best first. */
 export function rankedAbove<T extends RelayCandidate>(
   self: RelayCandidate,
   vms: readonly T[],
 ): readonly T[] {
-  return vms.filter((one) => rank(one, self) < 0).toSorted(rank);
+  return vms.filter((one) => compareRank(one, self) < 0).toSorted(compareRank);
 }
 
-/** Large VMs first: a relay sends each change to all VMs of its region. */
-function rank(one: RelayCandidate, other: RelayCandidate): number {
+/**
+ * Sorts VMs with more cores first: a relay sends each change to all VMs of its
+ * region.
+ */
+function compareRank(one: RelayCandidate, other: RelayCandidate): number {
   return other.cores - one.cores || one.hash - other.hash ||
     (one.vm < other.vm ? -1 : Number(one.vm > other.vm));
 }
--- a/packages/placement/src/relays_test.ts
+++ b/packages/placement/src/relays_test.ts
@@ -1,5 +1,5 @@
 /**
- * Who asks whom for the store's news.
+ * Which VMs query the store, and which VMs relay its changes to the others.
  *
  * @module
  */
@@ -29,11 +29,13 @@
 ).map((vms) => vms.map(([name, region, cores]) => vm(name, region, cores)));
 
 describe("relays", () => {
-  test("leave one VM of each region to ask the store", () => {
+  test("leave one VM of each region to query the store", () => {
     fc.assert(fc.property(fleet, (vms) => {
-      const asking = vms.filter((one) => relaysFor(one, vms).length === 0);
+      const storeReaders = vms.filter((one) =>
+        relaysFor(one, vms).length === 0
+      );
       const regions = new Set(vms.map(({ region }) => region));
-      expect(asking.map(({ region }) => region).sort())
+      expect(storeReaders.map(({ region }) => region).sort())
         .toEqual([...regions].sort());
     }));
   });
@@ -51,9 +53,9 @@
     }));
   });
 
-  test("never form a circle, whatever each VM sees", () => {
-    // Two VMs see different parts of the fleet, as after a cut. If each waited for
-    // the other's news, neither would hear of a change, and nothing would tell them.
+  test("never form a cycle, whichever VMs each VM sees", () => {
+    // Two VMs see different parts of the fleet, as during a network partition. If
+    // each waited for the other's changes, neither would receive any, and no error would show it.
     const views = fleet.chain((vms) =>
       fc.tuple(
         fc.constant(vms),
@@ -64,16 +66,16 @@
       )
     );
     fc.assert(fc.property(views, ([vms, seen]) => {
-      const asks = new Map(
+      const relaysByVm = new Map(
         vms.map((one, at) => [one.vm, relaysFor(one, seen[at]!)]),
       );
       for (const { vm: start } of vms) {
         const reached = new Set<VmId>();
-        const next = [...asks.get(start)!];
+        const next = [...relaysByVm.get(start)!];
         for (let one = next.pop(); one !== undefined; one = next.pop()) {
           if (!reached.has(one.vm)) {
             reached.add(one.vm);
-            next.push(...asks.get(one.vm)!);
+            next.push(...relaysByVm.get(one.vm)!);
           }
         }
         expect(reached).not.toContain(start);
--- a/packages/placement/src/round_trips.ts
+++ b/packages/placement/src/round_trips.ts
@@ -1,5 +1,5 @@
 /**
- * Round trips to zones, learned from connections.
+ * Round trips to zones, measured when connections are established.
  *
  * @module
  */
@@ -7,40 +7,48 @@
 import type { ZoneId } from "@poplarthread/ids";
 import type { Place } from "./target.ts";
 
-/** Taken until measured, in milliseconds: within a zone, a region, and beyond. */
-const GUESS_MS = { zone: 0.5, region: 3, beyond: 60 };
-/** How fast a longer round trip replaces a shorter one; a shorter one does at once. */
-const RISE = 0.05;
+/**
+ * Used until a zone has been measured: for the same zone, the same region, and
+ * other regions.
+ */
+const DEFAULT_ROUND_TRIP_MS = { zone: 0.5, region: 3, otherRegion: 60 };
+/**
+ * Weight of a sample that is longer than the estimate; a shorter one replaces the
+ * estimate at once.
+ */
+const INCREASE_WEIGHT = 0.05;
 
-/** Round trips from this VM, in milliseconds. */
+/** Round trips from this VM in milliseconds. */
 export class RoundTrips {
-  readonly #self: Place;
-  readonly #measured = new Map<ZoneId, number>();
+  readonly #local: Place;
+  readonly #measuredMs = new Map<ZoneId, number>();
 
-  constructor(self: Place) {
-    this.#self = self;
+  constructor(local: Place) {
+    this.#local = local;
   }
 
-  /** A connection to a target of `zone` took `ms` to come about. */
+  /** Records that a connection to a target of `zone` took `ms` to establish. */
   measured(zone: ZoneId, ms: number): void {
-    const before = this.#measured.get(zone);
-    this.#measured.set(
+    const before = this.#measuredMs.get(zone);
+    this.#measuredMs.set(
       zone,
-      before === undefined || ms < before ? ms : before + RISE * (ms - before),
+      before === undefined || ms < before
+        ? ms
+        : before + INCREASE_WEIGHT * (ms - before),
     );
   }
 
-  /** The round trip to a place. */
+  /** The round trip to a location. */
   to(place: Place): number {
-    const measured = this.#measured.get(place.zone);
+    const measured = this.#measuredMs.get(place.zone);
     if (measured !== undefined) {
       return measured;
     }
-    if (place.zone === this.#self.zone) {
-      return GUESS_MS.zone;
+    if (place.zone === this.#local.zone) {
+      return DEFAULT_ROUND_TRIP_MS.zone;
     }
-    return place.region === this.#self.region
-      ? GUESS_MS.region
-      : GUESS_MS.beyond;
+    return place.region === this.#local.region
+      ? DEFAULT_ROUND_TRIP_MS.region
+      : DEFAULT_ROUND_TRIP_MS.otherRegion;
   }
 }
--- a/packages/placement/src/service_times.ts
+++ b/packages/placement/src/service_times.ts
@@ -1,56 +1,72 @@
 /**
- * How long requests occupy a slot, and how long targets take to answer, by service.
+ * Service times and response times of targets, by service.
  *
  * @module
  */
 
 import type { ServiceId } from "@poplarthread/ids";
 
-/** Taken until measured, in milliseconds: a warm request of the deployments. */
-const GUESS_MS = 200;
-/** Weight of a new sample: the mean follows within some 20 requests. */
-const WEIGHT = 0.05;
-/** Samples count at most this, in milliseconds, so that one silent target does not shift the mean. */
-const MOST_MS = 2_000;
-/** Long time that is taken until measured, in milliseconds. */
-const GUESS_LONG_MS = 2_000;
+/** Mean used until there are samples: the time of a warm request in the deployments. */
+const DEFAULT_MEAN_MS = 200;
+/** Weight of a new sample: the mean adapts within about 20 requests. */
+const MEAN_WEIGHT = 0.05;
 /**
- * Weights of samples above and below the long time: it follows the longest of some
- * hundred at once, and forgets them slowly. Requests on objects that targets do not
- * keep are few after the first seconds, and take several times as long as the rest.
+ * Longer samples are capped, so that one unresponsive target does not shift the
+ * mean.
  */
-const LONGER_WEIGHT = 0.3;
-const SHORTER_WEIGHT = 0.003;
-/** Samples count at most this for it, in milliseconds: targets that are slowed down must not hide those that are silent. */
-const MOST_LONG_MS = 3_000;
+const MAX_MEAN_SAMPLE_MS = 2_000;
+/** Longest usual response time used until there are samples. */
+const DEFAULT_LONG_MS = 2_000;
+/**
+ * Weights of samples above and below the long time, which rises at once to the
+ * longest of about a hundred responses and decays slowly. Requests on uncached
+ * objects become rare after the first seconds, but take several times as long as
+ * the others.
+ */
+const LONG_INCREASE_WEIGHT = 0.3;
+const LONG_DECREASE_WEIGHT = 0.003;
+/**
+ * Cap of samples for the long time: slowed-down targets must not hide unresponsive
+ * ones.
+ */
+const MAX_LONG_SAMPLE_MS = 3_000;
 
-/** Running means of service times. */
+/** Mean service time and longest usual response time of each service. */
 export class ServiceTimes {
-  readonly #means = new Map<ServiceId, number>();
-  readonly #longs = new Map<ServiceId, number>();
+  readonly #meansMs = new Map<ServiceId, number>();
+  readonly #longsMs = new Map<ServiceId, number>();
 
-  /** A target answered after `ms`, less the round trip, with nothing waiting before it. */
-  measured(service: ServiceId, ms: number): void {
-    const sample = Math.min(Math.max(1, ms), MOST_MS);
-    const mean = this.mean(service);
-    this.#means.set(service, mean + WEIGHT * (sample - mean));
+  /**
+   * Records a response time without the round trip; the target had no other
+   * requests waiting.
+   */
+  recordServiceTime(service: ServiceId, ms: number): void {
+    const sample = Math.min(Math.max(1, ms), MAX_MEAN_SAMPLE_MS);
+    const mean = this.meanMs(service);
+    this.#meansMs.set(service, mean + MEAN_WEIGHT * (sample - mean));
   }
 
-  /** Mean in milliseconds. */
-  mean(service: ServiceId): number {
-    return this.#means.get(service) ?? GUESS_MS;
+  /** Mean service time in milliseconds. */
+  meanMs(service: ServiceId): number {
+    return this.#meansMs.get(service) ?? DEFAULT_MEAN_MS;
   }
 
-  /** What the longest requests take, with their wait at the target, in milliseconds. */
-  long(service: ServiceId): number {
-    return this.#longs.get(service) ?? GUESS_LONG_MS;
+  /**
+   * Response time of the longest requests in milliseconds, including their wait at
+   * the target.
+   */
+  longMs(service: ServiceId): number {
+    return this.#longsMs.get(service) ?? DEFAULT_LONG_MS;
   }
 
-  /** A target answered after `ms`, less the round trip, whatever waited before it. */
-  answered(service: ServiceId, ms: number): void {
-    const sample = Math.min(Math.max(1, ms), MOST_LONG_MS);
-    const long = this.#longs.get(service) ?? sample;
-    const weight = sample > long ? LONGER_WEIGHT : SHORTER_WEIGHT;
-    this.#longs.set(service, long + weight * (sample - long));
+  /**
+   * Records a response time without the round trip; requests may have waited at the
+   * target.
+   */
+  recordResponseTime(service: ServiceId, ms: number): void {
+    const sample = Math.min(Math.max(1, ms), MAX_LONG_SAMPLE_MS);
+    const long = this.#longsMs.get(service) ?? sample;
+    const weight = sample > long ? LONG_INCREASE_WEIGHT : LONG_DECREASE_WEIGHT;
+    this.#longsMs.set(service, long + weight * (sample - long));
   }
 }
--- a/packages/placement/src/steering.ts
+++ b/packages/placement/src/steering.ts
@@ -1,8 +1,8 @@
 /**
- * Steers the requests of one VM: which target gets a request, which request
- * waits, and which is refused at once.
+ * Traffic steering of one VM: decides whether a request is sent to a target, and to
+ * which one, waits in this VM's queue, or is refused.
  *
- * Pure: it takes the time as an argument and opens no socket. Times are
+ * Does no I/O and reads no clock: the current time is passed in. Times are
  * milliseconds of one monotonic clock.
  *
  * @module
@@ -14,8 +14,8 @@
   type Choice,
   choose,
   DEFAULT_WEIGHTS,
-  leastCostBehind,
-  MOST_POSITION,
+  MAX_POSITION,
+  minCostFromMaxPosition,
   type PlacementWeights,
 } from "./choose.ts";
 import { DrainRate } from "./drain_rate.ts";
@@ -31,7 +31,7 @@
 import { RoundTrips } from "./round_trips.ts";
 import { ServiceTimes } from "./service_times.ts";
 import type { Place, SteeredTarget } from "./target.ts";
-import { TargetBelief } from "./target_belief.ts";
+import { TargetHealth } from "./target_belief.ts";
 import { TargetIndex } from "./target_index.ts";
 import type { NamedLimit } from "./target_limits.ts";
 import { TargetLoad } from "./target_load.ts";
@@ -39,237 +39,275 @@
 import { TargetRates } from "./target_rates.ts";
 import { type HashedPair, WarmObjects } from "./warm_objects.ts";
 
-/** What a VM steers by besides its targets. */
+/** Configuration of {@link Steering}. */
 export interface SteeringOptions {
   readonly vm: VmId;
   readonly place: Place;
   readonly retries: RetryBound;
   readonly weights?: PlacementWeights;
-  /** Told of a target that is warm for an object, for the other VMs. */
+  /**
+   * Called when the other VMs should be notified that a target is warm for an
+   * object.
+   */
   warmed?(pair: HashedPair): void;
-  /** How many targets of the agreed order are weighed before all are; {@link WEIGHS_FIRST} if left out. */
-  readonly weighsFirst?: number;
+  /**
+   * Number of targets, in rendezvous order, that are compared before all of them
+   * are; defaults to {@link INITIAL_CANDIDATES}.
+   */
+  readonly initialCandidates?: number;
 }
 
 /**
- * Those up to the position from which all are alike. Whatever is behind them costs
- * more, unless it is warm: weighing all 576 targets of a large service for each
- * request, and for each that waits at each end of another, only confirmed that.
+ * All positions up to {@link MAX_POSITION}, from which on the position cost is
+ * constant. Unless it is warm, any target after these costs more, so comparing all
+ * 576 targets of a large service for each new request, and for each waiting one
+ * whenever another request ends, would not change the result.
  */
-const WEIGHS_FIRST = MOST_POSITION + 1;
+const INITIAL_CANDIDATES = MAX_POSITION + 1;
 
 /**
- * Requests that may wait at a target, as a multiple of its slots. A wait there
- * cannot be taken back for a more urgent request or a target that gets free, and a
- * full target refuses; with none waiting, a slot would stand idle for a round trip.
+ * Requests that may wait at a target, as a multiple of its slots. A request that
+ * waits there can't be moved to another target or let a more urgent one pass, and a
+ * full target refuses requests. With none waiting there, a slot would be idle for
+ * one round trip.
  */
-const QUEUE_PER_SLOT = 2 / 3;
-/** A request that was expected to wait longer for a slot says nothing about times, in milliseconds. */
-const MEASURED_WAIT_MS = 60;
+const MAX_QUEUED_PER_SLOT = 2 / 3;
 /**
- * Share of its time that a request may wait here. The expected wait is a guess
- * that more urgent requests can prove wrong; a request that is refused at half of
- * its time can still be served when it comes back.
+ * Response times of requests with a longer expected wait for a slot are not used as
+ * samples.
  */
-const MOST_WAIT_SHARE = 0.5;
-/** Shortest Retry-After, in milliseconds: about one warm service time. */
-const RETRY_AFTER_LEAST_MS = 100;
-/** Retry-After where no target may be used, in milliseconds: the list of targets changes within about this time. */
-const RETRY_AFTER_NO_TARGET_MS = 500;
+const MAX_MEASURED_WAIT_MS = 60;
+/**
+ * Share of a request's total time that it may wait in this VM's queue. The expected
+ * wait is an estimate that more urgent requests can invalidate; a request refused
+ * halfway can still succeed if the caller retries it.
+ */
+const MAX_WAIT_SHARE = 0.5;
+/** Shortest Retry-After: about one warm service time. */
+const MIN_RETRY_AFTER_MS = 100;
+/**
+ * Retry-After when no target is usable: the target list usually changes within this
+ * time.
+ */
+const NO_TARGET_RETRY_AFTER_MS = 500;
 
 interface Entry {
   target: SteeredTarget;
   readonly load: TargetLoad;
-  readonly belief: TargetBelief;
+  readonly health: TargetHealth;
 }
 
-/** A target with its position in the agreed order of a request's object. */
+/** A target and its position in the rendezvous order of the request's object. */
 interface Positioned {
   readonly entry: Entry;
-  /** Undefined where requests are all alike. */
+  /** Undefined for requests without an object. */
   readonly position: number | undefined;
 }
 
-/** See the module's comment. */
+/**
+ * Selects targets for the requests of one VM and tracks what it learns about these
+ * targets.
+ */
 export class Steering {
   readonly roundTrips: RoundTrips;
   readonly #options: SteeringOptions;
   readonly #weights: PlacementWeights;
-  readonly #weighsFirst: number;
+  readonly #initialCandidates: number;
   readonly #index: TargetIndex<Entry>;
-  /** Ids of the targets by their hashes, as other VMs name them. */
-  readonly #ids = new Map<number, TargetId>();
-  /** Targets that may have requests of this VM without an answer. Of hundreds, few have any at a time. */
-  readonly #awaited = new Set<Entry>();
-  /** Targets that may be out, to be probed. */
-  readonly #out = new Set<Entry>();
+  /** Target ids by hash; messages between VMs name targets by hash. */
+  readonly #idsByHash = new Map<number, TargetId>();
+  /**
+   * Targets that may have pending requests of this VM. Few of several hundred have
+   * any at one time.
+   */
+  readonly #withPendingRequests = new Set<Entry>();
+  /** Targets that may be unusable and need probes. */
+  readonly #unhealthy = new Set<Entry>();
   readonly #rates: TargetRates;
   readonly #warm = new WarmObjects();
   readonly #times = new ServiceTimes();
   readonly #kinds = new KindTimes();
-  readonly #drains = new Map<ServiceId, DrainRate>();
-  readonly #budgets = new Map<ServiceId, FleetRetryBudget>();
+  readonly #drainRates = new Map<ServiceId, DrainRate>();
+  readonly #retryBudgets = new Map<ServiceId, FleetRetryBudget>();
   #evacuated: ReadonlySet<string> = new Set();
 
   constructor(options: SteeringOptions) {
     this.#options = options;
     this.#rates = new TargetRates(options.vm);
     this.#weights = options.weights ?? DEFAULT_WEIGHTS;
-    this.#weighsFirst = options.weighsFirst ?? WEIGHS_FIRST;
+    this.#initialCandidates = options.initialCandidates ?? INITIAL_CANDIDATES;
     this.#index = new TargetIndex(options.place);
     this.roundTrips = new RoundTrips(options.place);
   }
 
-  /** The VMs that take part, this one among them. */
+  /** Sets the reachable VMs, including this one. */
   setVms(vms: readonly TargetOwner[]): void {
     this.#rates.setVms(vms);
     this.#index.setVms(vms);
   }
 
-  /** Number of VMs that share the limits of all VMs together; more than those that take part, while some may be behind a cut. */
+  /**
+   * Sets the number of VMs that share the fleet-wide limits. It exceeds the number
+   * of reachable VMs while some may be on the other side of a network partition.
+   */
   setFleetSize(vms: number): void {
     this.#rates.setFleetSize(vms);
   }
 
-  /** Zones whose targets get nothing. */
+  /** Sets the zones whose targets receive no requests. */
   setEvacuated(zones: ReadonlySet<string>): void {
     this.#evacuated = zones;
     this.#index.setEvacuated(zones);
   }
 
-  /** Adds a target, or takes in what has changed about it. */
+  /** Adds a target or updates a known one. */
   setTarget(target: SteeredTarget): void {
     const entry = this.#index.get(target.id);
     if (entry !== undefined) {
       if (entry.target.region !== target.region) {
-        this.#rates.moved(target.id);
+        this.#rates.relocated(target.id);
       }
       this.#index.update(entry, target);
       return;
     }
-    this.#ids.set(target.hash, target.id);
+    this.#idsByHash.set(target.hash, target.id);
     this.#index.add({
       target,
       load: new TargetLoad(),
-      belief: new TargetBelief(),
+      health: new TargetHealth(),
     });
   }
 
-  /** The target is gone. */
+  /** Removes a target that no longer exists. */
   removeTarget(id: TargetId): void {
     const entry = this.#index.get(id);
     if (entry !== undefined) {
-      this.#ids.delete(entry.target.hash);
-      this.#awaited.delete(entry);
-      this.#out.delete(entry);
+      this.#idsByHash.delete(entry.target.hash);
+      this.#withPendingRequests.delete(entry);
+      this.#unhealthy.delete(entry);
     }
     this.#index.delete(id);
-    this.#rates.forget(id);
-    this.#warm.forget(id);
+    this.#rates.remove(id);
+    this.#warm.removeTarget(id);
   }
 
-  /** The target has started anew: it keeps nothing warm, has named no limit and asked for no rest. */
+  /**
+   * Resets what belongs to the target's previous run: its warm objects, its limit
+   * and its back-off.
+   */
   restarted(id: TargetId): void {
-    this.#warm.forget(id);
+    this.#warm.removeTarget(id);
     this.#rates.restarted(id);
-    this.#index.get(id)?.belief.restarted();
+    this.#index.get(id)?.health.restarted();
   }
 
-  /** Targets that have a limit. */
+  /** Number of targets with a limit in force. */
   get limitedTargets(): number {
-    return this.#rates.limited;
+    return this.#rates.limitedTargets;
   }
 
-  /** The target is cold until `until`. */
+  /** Treats the target as cold until `until`. */
   markCold(id: TargetId, until: number): void {
     this.#rates.markCold(id, until);
   }
 
-  /** Another VM tells that a target is warm for an object. */
+  /** Records another VM's notification that a target is warm for an object. */
   heardWarm({ object, target }: HashedPair, now: number): void {
-    const id = this.#ids.get(target);
+    const id = this.#idsByHash.get(target);
     if (id !== undefined) {
-      this.#warm.heard({ object, target: id }, now);
+      this.#warm.recordRemoteUse({ object, target: id }, now);
     }
   }
 
-  /** Pairs that are likely warm, for a VM that knows none. */
+  /** Pairs that are probably warm, for a VM that has just joined. */
   warmPairs(now: number): readonly HashedPair[] {
-    return this.#warm.all(now).flatMap(({ object, target }) => {
+    return this.#warm.warmPairs(now).flatMap(({ object, target }) => {
       const entry = this.#index.get(target);
       return entry === undefined ? [] : [{ object, target: entry.target.hash }];
     });
   }
 
-  /** Round trip to a target, in milliseconds; 0 where it is not known. */
+  /** Round trip to a target in milliseconds, or 0 for an unknown target. */
   roundTripTo(id: TargetId): number {
     const entry = this.#index.get(id);
     return entry === undefined ? 0 : this.roundTrips.to(entry.target);
   }
 
-  /** A caller's request for `service` came. */
+  /** Records the arrival of a caller's request for `service`. */
   arrived(service: ServiceId, priority: number, now: number): void {
-    this.#budget(service).arrived(now);
-    this.#drain(service).arrived(priority, now);
+    this.#retryBudget(service).arrived(now);
+    this.#drainRate(service).arrived(priority, now);
   }
 
-  /** Whether a request may be sent once more; if so, that is counted. */
+  /**
+   * Takes one retry from the service's retry budget; false if the budget is used
+   * up.
+   */
   spendRetry(service: ServiceId, now: number): boolean {
-    return this.#budget(service).spend(now, this.#rates.allVms);
+    return this.#retryBudget(service).trySpend(now, this.#rates.totalVms);
   }
 
-  /** Decides what happens to a request now. `ahead` requests wait before it. */
+  /**
+   * Decides what happens to a request now. `ahead` is the number of requests queued
+   * before it.
+   */
   place(
     request: PlacementRequest,
     { now, ahead }: { now: number; ahead: number },
   ): PlacementDecision {
-    const serviceMs = this.#times.mean(request.service);
-    const first = this.#usable(request, now, this.#weighsFirst);
-    if (first.length === 0) {
-      return refuse("no-target", this.#usableInMs(request, now));
+    const serviceMs = this.#times.meanMs(request.service);
+    const initial = this.#usable(request, now, this.#initialCandidates);
+    if (initial.length === 0) {
+      return refusal("no-target", this.#retryAfterMs(request, now));
     }
-    const choice = this.#choose(first, request, now);
-    const left = request.answerBy - now;
+    const choice = this.#choose(initial, request, now);
+    const remainingMs = request.answerBy - now;
     const chosen = choice && this.#index.get(choice.target);
-    if (choice !== undefined && chosen && this.#hasRoom(chosen, now)) {
-      return choice.expectedMs + serviceMs / 2 > left
-        ? refuse("overload", choice.expectedMs)
+    if (choice !== undefined && chosen && this.#hasCapacity(chosen, now)) {
+      return choice.expectedMs + serviceMs / 2 > remainingMs
+        ? refusal("overload", choice.expectedMs)
         : {
           kind: "send",
           warmth: this.#warmth(choice, request, now),
           ...choice,
         };
     }
-    const waitMs = this.#drain(request.service)
+    const waitMs = this.#drainRate(request.service)
       .waitMs(request.priority, { now, ahead });
     const waitsUntil = now + waitMs;
-    const mostWaitMs = (request.answerBy - request.arrivedAt) * MOST_WAIT_SHARE;
-    return waitsUntil > request.arrivedAt + mostWaitMs
-      ? refuse("overload", waitMs)
+    const maxWaitMs = (request.answerBy - request.arrivedAt) * MAX_WAIT_SHARE;
+    return waitsUntil > request.arrivedAt + maxWaitMs
+      ? refusal("overload", waitMs)
       : { kind: "wait" };
   }
 
-  /** A request is sent to a target; {@link ended} follows. */
+  /**
+   * Records that a request has been assigned to a target. A call of {@link ended}
+   * must follow.
+   */
   sent(id: TargetId, now: number): void {
     const entry = this.#index.get(id);
     if (entry === undefined) {
       return;
     }
     entry.load.sent();
-    this.#drain(entry.target.service).sent(now);
+    this.#drainRate(entry.target.service).sent(now);
     this.#rates.sent(id, now);
   }
 
-  /** The request was written to the target's connection. */
+  /** Records that the request has been written to the target's connection. */
   written(id: TargetId, now: number): void {
     const entry = this.#index.get(id);
     if (entry !== undefined) {
-      entry.belief.sent(now);
-      this.#awaited.add(entry);
+      entry.health.sent(now);
+      this.#withPendingRequests.add(entry);
     }
   }
 
-  /** An attempt ended that was {@link sent}, and written at `writtenAt` if ever. */
+  /**
+   * Records the end of an attempt that was {@link sent}. `writtenAt` is undefined
+   * if it was never written to the connection.
+   */
   ended(
     id: TargetId,
     result: AttemptResult,
@@ -285,38 +323,47 @@
     }
     switch (result.kind) {
       case "answered":
-        this.#answered(entry, result, { now, writtenAt });
+        this.#responded(entry, result, { now, writtenAt });
         return;
       case "broke":
-        entry.belief.broke(writtenAt, now);
+        entry.health.connectionBroke(writtenAt, now);
         return;
       case "abandoned":
-        entry.belief.dropped(writtenAt);
+        entry.health.dropped(writtenAt);
         return;
     }
   }
 
-  /** A target says whether it has a limit, in an answer or to another VM; true if that is news. */
+  /**
+   * Applies the rate limit that a target has reported, to this VM or to another
+   * one; true if it differs from the known one.
+   */
   limitNamed(id: TargetId, limit: NamedLimit): boolean {
     return this.#index.get(id) !== undefined &&
-      this.#rates.limitNamed(id, limit);
+      this.#rates.updateLimit(id, limit);
   }
 
-  /** The target has turned a request away and wants nothing from this VM until then. */
+  /**
+   * The target has refused a request and asked this VM to send nothing until
+   * `until`.
+   */
   rests(id: TargetId, until: number): void {
-    this.#index.get(id)?.belief.rest(until);
+    this.#index.get(id)?.health.backOff(until);
   }
 
-  /** No connection to the target came about. */
+  /** Marks the target unreachable: no connection could be established. */
   unreachable(id: TargetId, now: number): void {
     const entry = this.#index.get(id);
     if (entry !== undefined) {
-      entry.belief.unreachable(now);
-      this.#out.add(entry);
+      entry.health.unreachable(now);
+      this.#unhealthy.add(entry);
     }
   }
 
-  /** A probe found the target healthy, and cold for `coldMs`. */
+  /**
+   * Marks the target usable after a successful probe. It is cold for the next
+   * `coldMs`.
+   */
   probeAnswered(
     id: TargetId,
     { now, coldMs }: { now: number; coldMs: number },
@@ -325,51 +372,54 @@
     if (coldMs > 0) {
       this.#rates.markCold(id, now + coldMs);
     }
-    entry?.belief.probeAnswered(now);
+    entry?.health.probeAnswered(now);
   }
 
-  /** Targets that have fallen silent since the last call. */
+  /**
+   * Checks all targets with pending requests and returns those that have become
+   * unresponsive since the last call.
+   */
   checkSilence(now: number): readonly TargetId[] {
-    const silent: TargetId[] = [];
-    for (const entry of this.#awaited) {
-      const { target, load, belief } = entry;
-      if (!belief.isAwaited) {
-        this.#awaited.delete(entry);
+    const unresponsive: TargetId[] = [];
+    for (const entry of this.#withPendingRequests) {
+      const { target, load, health } = entry;
+      if (!health.hasPendingRequests) {
+        this.#withPendingRequests.delete(entry);
         continue;
       }
-      const serviceMs = this.#times.mean(target.service);
+      const serviceMs = this.#times.meanMs(target.service);
       const waitMs = load.waitMs(now, { slots: target.slots, serviceMs });
-      const longMs = this.#times.long(target.service);
-      if (belief.check(now, { waitMs, longMs })) {
-        silent.push(target.id);
-        this.#out.add(entry);
+      const longMs = this.#times.longMs(target.service);
+      if (health.detectUnresponsive(now, { waitMs, longMs })) {
+        unresponsive.push(target.id);
+        this.#unhealthy.add(entry);
       }
     }
-    return silent;
+    return unresponsive;
   }
 
-  /** Targets of which a probe is due. */
+  /** Targets that should be probed now. Schedules the next probe of each. */
   probesDue(now: number): readonly TargetId[] {
     const due: TargetId[] = [];
-    for (const entry of this.#out) {
-      const { target, belief } = entry;
-      if (belief.standing === "in-use") {
-        this.#out.delete(entry);
-      } else if (!target.leaving && belief.probeDue(now)) {
+    for (const entry of this.#unhealthy) {
+      const { target, health } = entry;
+      if (health.state === "in-use") {
+        this.#unhealthy.delete(entry);
+      } else if (!target.leaving && health.probeDue(now)) {
         due.push(target.id);
       }
     }
     return due;
   }
 
-  #answered(
+  #responded(
     entry: Entry,
     result: Extract<AttemptResult, { kind: "answered" }>,
     { now, writtenAt }: { now: number; writtenAt: number },
   ): void {
-    const { target, load, belief } = entry;
+    const { target, load, health } = entry;
     const { failed, object, requestKind, warmth } = result;
-    belief.answered(writtenAt, { now, failed });
+    health.responded(writtenAt, { now, failed });
     if (result.load !== undefined) {
       load.reported(result.load, now);
     }
@@ -377,58 +427,68 @@
       return;
     }
     const ms = now - writtenAt - this.roundTrips.to(target);
-    this.#times.answered(target.service, ms);
+    this.#times.recordResponseTime(target.service, ms);
     if (result.load === undefined || result.load.waiting === 0) {
-      this.#times.measured(target.service, ms);
+      this.#times.recordServiceTime(target.service, ms);
       if (warmth !== "unknown") {
-        this.#kinds.measured(requestKind, ms, warmth === "warm");
+        this.#kinds.record(requestKind, ms, warmth === "warm");
       }
     }
     if (object === undefined) {
       return;
     }
-    if (this.#warm.used({ object, target: target.id }, now)) {
+    if (this.#warm.recordUse({ object, target: target.id }, now)) {
       this.#options.warmed?.({ object, target: target.hash });
     }
   }
 
   #isUsable(entry: Entry, request: PlacementRequest, now: number): boolean {
-    return this.#isInUse(entry, request) &&
-      entry.belief.restMs(now) === 0 &&
+    return this.#isEligible(entry, request) &&
+      entry.health.backOffMs(now) === 0 &&
       !request.tried.has(entry.target.id);
   }
 
-  /** Whether it may be used, but for the requests that it had already and its rest. */
-  #isInUse({ target, belief }: Entry, request: PlacementRequest): boolean {
+  /**
+   * Whether the target is usable apart from its back-off and from earlier attempts
+   * of the request.
+   */
+  #isEligible({ target, health }: Entry, request: PlacementRequest): boolean {
     return !target.leaving &&
-      belief.standing === "in-use" &&
+      health.state === "in-use" &&
       !this.#evacuated.has(target.zone) &&
       (request.regions.length === 0 || request.regions.includes(target.region));
   }
 
-  /** When its caller had better come again, in milliseconds: where all targets rest, at the end of the first rest. */
-  #usableInMs(request: PlacementRequest, now: number): number {
-    const rests = this.#index.ofService(request.service)
-      .filter((entry) => this.#isInUse(entry, request))
-      .map(({ belief }) => belief.restMs(now));
-    const soonest = Math.min(...rests);
+  /**
+   * Retry-After for a request without a usable target. If all targets are in
+   * back-off, it ends with the earliest back-off.
+   */
+  #retryAfterMs(request: PlacementRequest, now: number): number {
+    const backOffs = this.#index.ofService(request.service)
+      .filter((entry) => this.#isEligible(entry, request))
+      .map(({ health }) => health.backOffMs(now));
+    const soonest = Math.min(...backOffs);
     return soonest > 0 && Number.isFinite(soonest)
       ? soonest
-      : RETRY_AFTER_NO_TARGET_MS;
+      : NO_TARGET_RETRY_AFTER_MS;
   }
 
-  #hasRoom({ target, load }: Entry, now: number): boolean {
-    const most = target.slots + Math.round(target.slots * QUEUE_PER_SLOT);
-    // What a report says of other VMs fades to fractions of a request: less than
-    // half of one takes no place.
-    return Math.round(load.inFlight(now)) < most;
+  #hasCapacity({ target, load }: Entry, now: number): boolean {
+    const maxInFlight = target.slots +
+      Math.round(target.slots * MAX_QUEUED_PER_SLOT);
+    // The estimate of other VMs' requests decays to fractions of a request.
+    // Rounding ignores less than half a request.
+    return Math.round(load.inFlight(now)) < maxInFlight;
   }
 
-  /** The first `most` targets that a request may use, in the agreed order of its object. */
+  /**
+   * The first `max` targets that the request may use, in the rendezvous order of
+   * its object.
+   */
   #usable(
     request: PlacementRequest,
     now: number,
-    most: number,
+    max: number,
   ): readonly Entry[] {
     const { service, object } = request;
     if (object === undefined) {
@@ -437,45 +497,49 @@
     }
     const usable: Entry[] = [];
     for (const entry of this.#index.inOrder(service, object)) {
-      if (this.#isUsable(entry, request, now) && usable.push(entry) >= most) {
+      if (this.#isUsable(entry, request, now) && usable.push(entry) >= max) {
         break;
       }
     }
     return usable;
   }
 
-  /** The cheapest target, where `first` are the first that may be used. */
+  /** The cheapest target; `initial` holds the first usable ones in rendezvous order. */
   #choose(
-    first: readonly Entry[],
+    initial: readonly Entry[],
     request: PlacementRequest,
     now: number,
   ): Choice | undefined {
-    const isAll = first.length < this.#weighsFirst ||
+    const isComplete = initial.length < this.#initialCandidates ||
       request.object === undefined;
-    if (isAll) {
-      return this.#cheapest(this.#inOrder(first, request), request, now);
+    if (isComplete) {
+      return this.#cheapest(
+        this.#withPositions(initial, request),
+        request,
+        now,
+      );
     }
-    const basis = {
+    const costParams = {
       weights: this.#weights,
       savedMs: this.#kinds.savedMs(request.kind),
     };
-    const near = this.#cheapest(
+    const cheapest = this.#cheapest(
       [
-        ...this.#inOrder(first, request),
-        ...this.#warmBehind(first, request, now),
+        ...this.#withPositions(initial, request),
+        ...this.#warmBeyond(initial, request, now),
       ],
       request,
       now,
     );
-    if (near && near.cost <= leastCostBehind(basis)) {
-      return near;
+    if (cheapest && cheapest.cost <= minCostFromMaxPosition(costParams)) {
+      return cheapest;
     }
     const all = this.#usable(request, now, Infinity);
-    return this.#cheapest(this.#inOrder(all, request), request, now);
+    return this.#cheapest(this.#withPositions(all, request), request, now);
   }
 
-  /** Targets with their positions; requests without an object have none. */
-  #inOrder(
+  /** Adds the position in rendezvous order; requests without an object have none. */
+  #withPositions(
     usable: readonly Entry[],
     { object }: PlacementRequest,
   ): readonly Positioned[] {
@@ -485,25 +549,29 @@
     }));
   }
 
-  /** Targets behind `first` that are warm for the request's object, in the agreed order, which breaks ties alike on all VMs. */
-  #warmBehind(
-    first: readonly Entry[],
+  /**
+   * Usable targets after `initial` that are warm for the request's object. They are
+   * returned in rendezvous order, so that all VMs break ties alike.
+   */
+  #warmBeyond(
+    initial: readonly Entry[],
     request: PlacementRequest,
     now: number,
   ): readonly Positioned[] {
     const { service } = request;
     const object = request.object!;
-    const near = new Set(first);
+    const excluded = new Set(initial);
     const warm: Entry[] = [];
     for (const id of this.#warm.targetsOf(object, now)) {
       const entry = this.#index.get(id);
-      const isBehind = entry?.target.service === service && !near.has(entry);
-      if (isBehind && this.#isUsable(entry, request, now)) {
+      const isBeyond = entry?.target.service === service &&
+        !excluded.has(entry);
+      if (isBeyond && this.#isUsable(entry, request, now)) {
         warm.push(entry);
       }
     }
     return this.#index.sorted(warm, { service, object })
-      .map((entry) => ({ entry, position: MOST_POSITION }));
+      .map((entry) => ({ entry, position: MAX_POSITION }));
   }
 
   #cheapest(
@@ -511,22 +579,22 @@
     { service, object, kind }: PlacementRequest,
     now: number,
   ): Choice | undefined {
-    const serviceMs = this.#times.mean(service);
+    const serviceMs = this.#times.meanMs(service);
     const candidates: Candidate[] = [];
     for (const { entry, position } of positioned) {
-      const { target, load, belief } = entry;
-      if (!this.#rates.takes(target, now)) {
+      const { target, load, health } = entry;
+      if (!this.#rates.allows(target, now)) {
         continue;
       }
       candidates.push({
         target,
         position,
-        price: {
+        costs: {
           roundTripMs: this.roundTrips.to(target),
           waitMs: load.waitMs(now, { slots: target.slots, serviceMs }),
           isWarm: object !== undefined &&
             this.#warm.isWarm(object, target.id, now),
-          failureShare: belief.failureShare(now),
+          failureShare: health.failureShare(now),
         },
       });
     }
@@ -537,7 +605,10 @@
     });
   }
 
-  /** Unknown where the request may wait: its time would not be that of its work. */
+  /**
+   * Unknown if the request is expected to wait, as its response time would include
+   * the wait.
+   */
   #warmth(
     { target, expectedMs }: Choice,
     { object }: PlacementRequest,
@@ -549,35 +620,35 @@
     if (this.#warm.isWarm(object, target, now)) {
       return "warm";
     }
-    return expectedMs > MEASURED_WAIT_MS ? "unknown" : "unwarmed";
+    return expectedMs > MAX_MEASURED_WAIT_MS ? "unknown" : "unwarmed";
   }
 
-  #budget(service: ServiceId): FleetRetryBudget {
-    let budget = this.#budgets.get(service);
+  #retryBudget(service: ServiceId): FleetRetryBudget {
+    let budget = this.#retryBudgets.get(service);
     if (budget === undefined) {
       budget = new FleetRetryBudget(this.#options.retries);
-      this.#budgets.set(service, budget);
+      this.#retryBudgets.set(service, budget);
     }
     return budget;
   }
 
-  #drain(service: ServiceId): DrainRate {
-    let drain = this.#drains.get(service);
+  #drainRate(service: ServiceId): DrainRate {
+    let drain = this.#drainRates.get(service);
     if (drain === undefined) {
       drain = new DrainRate();
-      this.#drains.set(service, drain);
+      this.#drainRates.set(service, drain);
     }
     return drain;
   }
 }
 
-function refuse(
+function refusal(
   reason: PlacementRefusal,
   waitMs: number,
 ): PlacementDecision {
   return {
     kind: "refuse",
     reason,
-    retryAfterMs: Math.max(RETRY_AFTER_LEAST_MS, waitMs),
+    retryAfterMs: Math.max(MIN_RETRY_AFTER_MS, waitMs),
   };
 }
--- a/packages/placement/src/target.ts
+++ b/packages/placement/src/target.ts
@@ -1,32 +1,35 @@
 /**
- * A target as placement sees it.
+ * Targets as placement sees them.
  *
  * @module
  */
 
 import type { RegionId, ServiceId, TargetId, ZoneId } from "@poplarthread/ids";
 
-/** What is known of a target before any request was sent to it. */
+/** Identity, location and capacity of a target. */
 export interface PlacedTarget {
   readonly id: TargetId;
   readonly service: ServiceId;
   readonly zone: ZoneId;
   readonly region: RegionId;
-  /** Requests that it works on at once. */
+  /** Requests that the target processes concurrently. */
   readonly slots: number;
-  /** Hash of its id. */
+  /** Hash of the target's id. */
   readonly hash: number;
 }
 
-/** A target with the limits that its service sets. */
+/** A target with its state and the cold rate of its service. */
 export interface SteeredTarget extends PlacedTarget {
-  /** Requests a second that it bears while it is cold. */
+  /** Requests per second that the target tolerates while it is cold. */
   readonly coldPerSecond: number;
-  /** It serves what it has and must get nothing new. */
+  /**
+   * The target is shutting down: it completes its requests and must receive no new
+   * ones.
+   */
   readonly leaving: boolean;
 }
 
-/** Where a VM or a target is. */
+/** Location of a VM or target. */
 export interface Place {
   readonly zone: ZoneId;
   readonly region: RegionId;
--- a/packages/placement/src/target_belief.ts
+++ b/packages/placement/src/target_belief.ts
@@ -1,173 +1,187 @@
 /**
- * Whether a target can be used, from what its connections and answers show.
+ * Health of a target, derived from its connections and responses.
  *
- * Answers targets that stop answering, that refuse connections, or that fail
- * part of their requests. Entries in the platform's list leave only after
- * seconds; until then every request sent there is lost or late. One notices
- * answers that end at their timeout while other targets stand idle.
+ * Detects targets that stop responding, refuse connections or fail part of their
+ * requests. The platform's list drops such a target only after seconds. Without
+ * this check every request sent there until then fails or times out while other
+ * targets are idle.
  *
  * @module
  */
 
-/** How a target stands. */
-export type Standing =
-  /** Takes requests. */
+/** Health state of a target. */
+export type HealthState =
+  /** Usable. */
   | "in-use"
-  /** Has requests that it should have answered long ago. */
-  | "silent"
-  /** Refused a connection, or none came about. */
+  /** Unresponsive: it has requests that it should have responded to long ago. */
+  | "unresponsive"
+  /** It refused a connection, or none could be established. */
   | "unreachable";
 
 /**
- * A target is silent that lets its oldest request wait longer than the expected wait
- * and this multiple of the longest usual service, without answering anything else
- * meanwhile. A fixed time fits no service but the one that it was chosen for: where
- * runs take as long, targets are taken out while they work, their requests go to
- * others that must run them for the first time as well, and one notices late answers
+ * A target is unresponsive if its oldest request has waited longer than the
+ * expected wait plus this multiple of the longest usual service time, with no other
+ * response meanwhile. A fixed timeout would not suit all services: where requests
+ * regularly take that long, working targets would be taken out, and their requests
+ * would move to other targets that run them uncached. The symptom is late responses
  * and probes while no target is broken.
  */
-const SILENT_TIMES = 1.35;
-/** The same at the least, in milliseconds: sound targets pause for a second at times. */
-const SILENT_LEAST_MS = 1_300;
-/** First pause before an unreachable or silent target is probed, in milliseconds. */
-const PROBE_FIRST_MS = 250;
-/** Longest pause between probes; targets come back within seconds. */
-const PROBE_MOST_MS = 1_000;
-/** Weight of a new outcome in the share of failures: ten outcomes decide. */
+const UNRESPONSIVE_FACTOR = 1.35;
+/** Lower bound of the same time: healthy targets sometimes pause for a second. */
+const MIN_UNRESPONSIVE_MS = 1_300;
+/** First delay between probes of an unreachable or unresponsive target. */
+const FIRST_PROBE_DELAY_MS = 250;
+/** Longest delay between probes: targets recover within seconds. */
+const MAX_PROBE_DELAY_MS = 1_000;
+/**
+ * Weight of a new outcome in the failure share, which follows the last ten outcomes
+ * or so.
+ */
 const FAILURE_WEIGHT = 0.15;
-/** With this half-life, in milliseconds, an old share of failures is forgotten without new outcomes. */
+/** Half-life of the failure share while there are no new outcomes. */
 const FAILURE_HALF_LIFE_MS = 1_500;
 
-/** What a request at a target is expected to take, in milliseconds. */
+/** Expected times of a request at a target. */
 export interface ExpectedTimes {
   /** Wait for a slot. */
   readonly waitMs: number;
-  /** What the longest requests of its service take, with their wait at the target. */
+  /**
+   * Time of the longest requests of its service, including their wait at the
+   * target.
+   */
   readonly longMs: number;
 }
 
-/** Follows one target. Times are milliseconds of the monotonic clock. */
-export class TargetBelief {
-  #standing: Standing = "in-use";
-  #heardAt = 0;
-  /** When the requests that are not answered were sent, oldest first. */
-  readonly #open: number[] = [];
-  #probeAt = 0;
-  #probePauseMs = PROBE_FIRST_MS;
-  #failures = 0;
-  #failuresAt = 0;
-  #restsUntil = -Infinity;
+/** Tracks the health of one target. Times are milliseconds of the monotonic clock. */
+export class TargetHealth {
+  #state: HealthState = "in-use";
+  #lastResponseAt = 0;
+  /** When each pending request was sent, oldest first. */
+  readonly #pendingSentAt: number[] = [];
+  #nextProbeAt = 0;
+  #probeDelayMs = FIRST_PROBE_DELAY_MS;
+  #lastFailureShare = 0;
+  #failureShareAt = 0;
+  #backOffUntil = -Infinity;
 
-  get standing(): Standing {
-    return this.#standing;
+  get state(): HealthState {
+    return this.#state;
   }
 
-  /** A request was written to it. */
+  /** Records that a request was written to the target's connection. */
   sent(now: number): void {
-    this.#open.push(now);
+    this.#pendingSentAt.push(now);
   }
 
-  /** A request that was sent at `sentAt` ended without word of the target. */
+  /** Removes a pending request whose end says nothing about the target. */
   dropped(sentAt: number): void {
-    const at = this.#open.indexOf(sentAt);
+    const at = this.#pendingSentAt.indexOf(sentAt);
     if (at >= 0) {
-      this.#open.splice(at, 1);
+      this.#pendingSentAt.splice(at, 1);
     }
   }
 
-  /** It answered a request that was sent at `sentAt`; `failed` where it refused or failed it. */
-  answered(sentAt: number, { now, failed }: { now: number; failed: boolean }) {
+  /**
+   * Records a response to the request sent at `sentAt`; `failed` if the target
+   * refused or failed it.
+   */
+  responded(sentAt: number, { now, failed }: { now: number; failed: boolean }) {
     this.dropped(sentAt);
-    this.#heardAt = now;
-    this.#count(failed ? 1 : 0, now);
-    if (this.#standing === "silent") {
-      this.#use();
+    this.#lastResponseAt = now;
+    this.#recordOutcome(failed ? 1 : 0, now);
+    if (this.#state === "unresponsive") {
+      this.#markInUse();
     }
   }
 
-  /** A connection broke off with a request on it. */
-  broke(sentAt: number, now: number): void {
+  /** Records that a connection broke with a request in progress. */
+  connectionBroke(sentAt: number, now: number): void {
     this.dropped(sentAt);
-    this.#count(1, now);
+    this.#recordOutcome(1, now);
   }
 
-  /** No connection came about. */
+  /** Records that no connection could be established. */
   unreachable(now: number): void {
-    if (this.#standing !== "unreachable") {
-      this.#standing = "unreachable";
-      this.#probePauseMs = PROBE_FIRST_MS;
-      this.#probeAt = now + PROBE_FIRST_MS;
+    if (this.#state !== "unreachable") {
+      this.#state = "unreachable";
+      this.#probeDelayMs = FIRST_PROBE_DELAY_MS;
+      this.#nextProbeAt = now + FIRST_PROBE_DELAY_MS;
     }
   }
 
-  /** A request was sent that has no answer yet. */
-  get isAwaited(): boolean {
-    return this.#open.length > 0;
+  get hasPendingRequests(): boolean {
+    return this.#pendingSentAt.length > 0;
   }
 
-  /** Notices silence. */
-  check(now: number, { waitMs, longMs }: ExpectedTimes): boolean {
-    const oldest = this.#open[0];
-    if (this.#standing !== "in-use" || oldest === undefined) {
+  /**
+   * Marks the target unresponsive if a response is overdue; true if it has just
+   * become so.
+   */
+  detectUnresponsive(now: number, { waitMs, longMs }: ExpectedTimes): boolean {
+    const oldest = this.#pendingSentAt[0];
+    if (this.#state !== "in-use" || oldest === undefined) {
       return false;
     }
-    const quietFor = now - Math.max(oldest, this.#heardAt);
-    const silentMs = Math.max(SILENT_LEAST_MS, SILENT_TIMES * longMs);
-    if (quietFor < silentMs + waitMs) {
+    const sinceResponseMs = now - Math.max(oldest, this.#lastResponseAt);
+    const unresponsiveMs = Math.max(
+      MIN_UNRESPONSIVE_MS,
+      UNRESPONSIVE_FACTOR * longMs,
+    );
+    if (sinceResponseMs < unresponsiveMs + waitMs) {
       return false;
     }
-    this.#standing = "silent";
-    this.#probePauseMs = PROBE_FIRST_MS;
-    this.#probeAt = now;
+    this.#state = "unresponsive";
+    this.#probeDelayMs = FIRST_PROBE_DELAY_MS;
+    this.#nextProbeAt = now;
     return true;
   }
 
-  /** It wants nothing from this VM until then. */
-  rest(until: number): void {
-    this.#restsUntil = Math.max(this.#restsUntil, until);
+  /** The target accepts no requests from this VM until `until`. */
+  backOff(until: number): void {
+    this.#backOffUntil = Math.max(this.#backOffUntil, until);
   }
 
-  /** How long it still wants nothing from this VM, in milliseconds; 0 where it takes requests. */
-  restMs(now: number): number {
-    return Math.max(0, this.#restsUntil - now);
+  /** Remaining back-off in milliseconds; 0 if there is none. */
+  backOffMs(now: number): number {
+    return Math.max(0, this.#backOffUntil - now);
   }
 
-  /** It lives anew. */
+  /** Clears the back-off of the target's previous run. */
   restarted(): void {
-    this.#restsUntil = -Infinity;
+    this.#backOffUntil = -Infinity;
   }
 
-  /** Whether a probe is due; if so, the next one is planned. */
+  /** Whether a probe is due; if so, schedules the next one. */
   probeDue(now: number): boolean {
-    const isDue = this.#standing !== "in-use" && now >= this.#probeAt &&
-      this.restMs(now) === 0;
+    const isDue = this.#state !== "in-use" && now >= this.#nextProbeAt &&
+      this.backOffMs(now) === 0;
     if (!isDue) {
       return false;
     }
-    this.#probeAt = now + this.#probePauseMs;
-    this.#probePauseMs = Math.min(PROBE_MOST_MS, this.#probePauseMs * 2);
+    this.#nextProbeAt = now + this.#probeDelayMs;
+    this.#probeDelayMs = Math.min(MAX_PROBE_DELAY_MS, this.#probeDelayMs * 2);
     return true;
   }
 
-  /** A probe was answered as by a healthy target. */
+  /** Records a successful probe. */
   probeAnswered(now: number): void {
-    this.#heardAt = now;
-    this.#use();
+    this.#lastResponseAt = now;
+    this.#markInUse();
   }
 
-  /** Share of recent requests that it failed or refused, 0 to 1. */
+  /** Share of recent requests that the target failed or refused, 0 to 1. */
   failureShare(now: number): number {
-    return this.#failures *
-      2 ** (-(now - this.#failuresAt) / FAILURE_HALF_LIFE_MS);
+    return this.#lastFailureShare *
+      2 ** (-(now - this.#failureShareAt) / FAILURE_HALF_LIFE_MS);
   }
 
-  #count(outcome: number, now: number): void {
+  #recordOutcome(outcome: number, now: number): void {
     const share = this.failureShare(now);
-    this.#failures = share + FAILURE_WEIGHT * (outcome - share);
-    this.#failuresAt = now;
+    this.#lastFailureShare = share + FAILURE_WEIGHT * (outcome - share);
+    this.#failureShareAt = now;
   }
 
-  #use(): void {
-    this.#standing = "in-use";
+  #markInUse(): void {
+    this.#state = "in-use";
   }
 }
--- a/packages/placement/src/target_belief_test.ts
+++ b/packages/placement/src/target_belief_test.ts
@@ -1,54 +1,63 @@
 /**
- * When a target is taken out, and when it comes back.
+ * When a target is taken out of use, and when it is used again.
  *
  * @module
  */
 
 import { describe, expect, test } from "vitest";
-import { TargetBelief } from "./target_belief.ts";
+import { TargetHealth } from "./target_belief.ts";
 import { TargetLoad } from "./target_load.ts";
 
-describe("a target that falls silent", () => {
-  test("is taken out while its requests hang, and back when it answers a probe", () => {
-    // A target loses power and its connections stay open. Without word of it, each
-    // request sent there waits for its whole timeout while other targets stand idle.
-    const belief = new TargetBelief();
-    belief.sent(0);
-    belief.sent(100);
-    expect(belief.check(1_000, { waitMs: 200, longMs: 400 })).toBe(false);
-    expect(belief.check(1_600, { waitMs: 200, longMs: 400 })).toBe(true);
-    expect(belief.standing).toBe("silent");
-    expect(belief.probeDue(1_600)).toBe(true);
-    expect(belief.probeDue(1_700)).toBe(false);
-    expect(belief.probeDue(1_900)).toBe(true);
-    belief.probeAnswered(2_000);
-    expect(belief.standing).toBe("in-use");
+describe("a target that stops responding", () => {
+  test("is not used while its requests hang, and is used again after a successful probe", () => {
+    // A target loses power and its connections stay open. If it stayed in use, each
+    // request sent there would wait for its full timeout while other targets are
+    // idle.
+    const health = new TargetHealth();
+    health.sent(0);
+    health.sent(100);
+    expect(health.detectUnresponsive(1_000, { waitMs: 200, longMs: 400 })).toBe(
+      false,
+    );
+    expect(health.detectUnresponsive(1_600, { waitMs: 200, longMs: 400 })).toBe(
+      true,
+    );
+    expect(health.state).toBe("unresponsive");
+    expect(health.probeDue(1_600)).toBe(true);
+    expect(health.probeDue(1_700)).toBe(false);
+    expect(health.probeDue(1_900)).toBe(true);
+    health.probeAnswered(2_000);
+    expect(health.state).toBe("in-use");
   });
 
-  test("is not mistaken for one that is slow", () => {
-    const belief = new TargetBelief();
-    belief.sent(0);
-    belief.sent(10);
-    belief.answered(0, { now: 1_200, failed: false });
-    expect(belief.check(2_000, { waitMs: 200, longMs: 400 })).toBe(false);
+  test("is distinguished from a slow one", () => {
+    const health = new TargetHealth();
+    health.sent(0);
+    health.sent(10);
+    health.responded(0, { now: 1_200, failed: false });
+    expect(health.detectUnresponsive(2_000, { waitMs: 200, longMs: 400 })).toBe(
+      false,
+    );
   });
 
-  test("is not one without requests", () => {
-    const belief = new TargetBelief();
-    belief.sent(0);
-    belief.dropped(0);
-    expect(belief.check(60_000, { waitMs: 0, longMs: 400 })).toBe(false);
+  test("is not assumed without pending requests", () => {
+    const health = new TargetHealth();
+    health.sent(0);
+    health.dropped(0);
+    expect(health.detectUnresponsive(60_000, { waitMs: 0, longMs: 400 })).toBe(
+      false,
+    );
   });
 });
 
 describe("a target that refuses connections", () => {
-  test("is probed soon, then less often, and not used meanwhile", () => {
-    const belief = new TargetBelief();
-    belief.unreachable(0);
-    expect(belief.standing).toBe("unreachable");
+  test("is not used, and is probed soon, then less often", () => {
+    const health = new TargetHealth();
+    health.unreachable(0);
+    expect(health.state).toBe("unreachable");
     const probes = [];
     for (let now = 0; now < 4_000; now += 10) {
-      if (belief.probeDue(now)) {
+      if (health.probeDue(now)) {
         probes.push(now);
       }
     }
@@ -65,21 +74,22 @@
 });
 
 describe("a target that fails part of its requests", () => {
-  test("costs more while it does, and is forgiven soon", () => {
-    // Its health check is good, but it refuses half of what it gets. As it answers
-    // fast, it looks idle, and without a memory of failures it would get the most.
-    const belief = new TargetBelief();
+  test("has a higher failure share, which decays soon", () => {
+    // The target's health check succeeds, but it refuses half of its requests. As
+    // it responds fast, it appears idle and would get most requests if failures
+    // didn't count.
+    const health = new TargetHealth();
     for (let now = 0; now < 1_000; now += 50) {
-      belief.sent(now);
-      belief.answered(now, { now: now + 1, failed: now % 100 === 0 });
+      health.sent(now);
+      health.responded(now, { now: now + 1, failed: now % 100 === 0 });
     }
-    expect(belief.failureShare(1_000)).toBeGreaterThan(0.3);
-    expect(belief.failureShare(10_000)).toBeLessThan(0.02);
+    expect(health.failureShare(1_000)).toBeGreaterThan(0.3);
+    expect(health.failureShare(10_000)).toBeLessThan(0.02);
   });
 });
 
 describe("the load of a target", () => {
-  test("counts the other VMs' requests by its reports", () => {
+  test("includes the other VMs' requests from its reports", () => {
     const load = new TargetLoad();
     load.sent();
     load.sent();
@@ -89,7 +99,7 @@
     expect(load.waitMs(0, { slots: 3, serviceMs: 150 })).toBe(250);
   });
 
-  test("does not keep a target full whose last report is old", () => {
+  test("does not count requests from an old report", () => {
     const load = new TargetLoad();
     load.reported({ running: 3, waiting: 9, slots: 3 }, 0);
     expect(load.inFlight(5_000)).toBeLessThan(1);
--- a/packages/placement/src/target_index.ts
+++ b/packages/placement/src/target_index.ts
@@ -1,165 +1,178 @@
 /**
- * The targets of a VM by service, with what is computed from all of them.
+ * Index of a VM's targets by service, with cached rendezvous orders and home
+ * shares.
  *
- * Answers large fleets on days of change. With hundreds of targets and VMs, some of
- * them come, leave or start anew every few hundred milliseconds. Computed anew for
- * each such change, orders and shares took a VM's processor from the requests at
- * the very moments at which these needed it; so each change throws away only what
- * hangs on it, and what is thrown away is computed when a request needs it.
+ * In a large fleet with hundreds of targets and VMs, some are added, removed or
+ * restarted every few hundred milliseconds during a rollout. Recomputing orders and
+ * shares on each change used up a VM's CPU exactly when requests needed it. So a
+ * change invalidates only what depends on it, and invalidated values are recomputed
+ * when a request needs them.
  *
  * @module
  */
 
 import type { RegionId, ServiceId, TargetId } from "@poplarthread/ids";
 import {
-  agreedOrder,
-  type AgreedOrderBasis,
-  firstOfOrder,
+  firstInOrder,
   hasHome,
+  rendezvousOrder,
+  type RendezvousOrderParams,
 } from "./agreed_order.ts";
 import { homeShares } from "./home_shares.ts";
 import type { Place, SteeredTarget } from "./target.ts";
 
-/** What is indexed: it has a target, which may be another one later. */
-export interface TargetHolder {
+/** An indexed item. Its target may be replaced by an updated one. */
+export interface TargetEntry {
   target: SteeredTarget;
 }
 
-/** An order as far as it was needed. */
-interface KeptOrder<T> {
+/** A rendezvous order, complete only if that was needed. */
+interface CachedOrder<T> {
   readonly first: readonly T[];
   all: readonly T[] | undefined;
 }
 
 /** The targets of one service. */
 class ServiceTargets<T> {
-  readonly holders: T[] = [];
-  /** By object, and whether it has a home in this VM's region. */
-  readonly orders = new Map<number, KeptOrder<T>>();
+  readonly entries: T[] = [];
+  /** Orders by object and by whether the object has a home in this VM's region. */
+  readonly orders = new Map<number, CachedOrder<T>>();
   /** Undefined until a request needs them. */
   shares: ReadonlyMap<RegionId, number> | undefined;
 }
 
-/** Targets of an order that are found before all are sorted: those that a request usually weighs, and some that it may not use. */
-const FOUND_FIRST = 24;
-/** Orders that are kept for each service; beyond it all are computed anew. One of 700 targets takes 6 kB. */
-const MOST_ORDERS = 1_500;
+/**
+ * Length of an order that is computed first: the targets that a request usually
+ * compares, plus a margin for unusable ones.
+ */
+const INITIAL_ORDER_LENGTH = 24;
+/**
+ * Cached orders per service; all are dropped when there are more. A complete order
+ * of 700 targets takes 6 kB.
+ */
+const MAX_CACHED_ORDERS = 1_500;
 
-/** See the module's comment. */
-export class TargetIndex<T extends TargetHolder> {
+/** Index of targets with cached rendezvous orders. */
+export class TargetIndex<T extends TargetEntry> {
   readonly #from: Place;
-  readonly #holders = new Map<TargetId, T>();
+  readonly #entries = new Map<TargetId, T>();
   readonly #services = new Map<ServiceId, ServiceTargets<T>>();
   #vmsByRegion: ReadonlyMap<RegionId, number> = new Map();
   #evacuated: ReadonlySet<string> = new Set();
 
-  /** `from` is where this VM is. */
+  /** `from` is the location of this VM. */
   constructor(from: Place) {
     this.#from = from;
   }
 
   get(id: TargetId): T | undefined {
-    return this.#holders.get(id);
+    return this.#entries.get(id);
   }
 
-  /** The VMs that take part. */
+  /** Sets the reachable VMs. */
   setVms(vms: readonly { readonly region: RegionId }[]): void {
     const counts = new Map<RegionId, number>();
     for (const { region } of vms) {
       counts.set(region, (counts.get(region) ?? 0) + 1);
     }
     this.#vmsByRegion = counts;
-    this.#forgetShares();
+    this.#invalidateShares();
   }
 
-  /** Zones whose targets get nothing. */
+  /** Sets the zones whose targets receive no requests. */
   setEvacuated(zones: ReadonlySet<string>): void {
     this.#evacuated = zones;
-    this.#forgetShares();
+    this.#invalidateShares();
   }
 
-  add(holder: T): void {
-    const { id, service } = holder.target;
-    this.#holders.set(id, holder);
+  add(entry: T): void {
+    const { id, service } = entry.target;
+    this.#entries.set(id, entry);
     const targets = this.#services.get(service) ?? new ServiceTargets<T>();
     this.#services.set(service, targets);
-    targets.holders.push(holder);
+    targets.entries.push(entry);
     targets.orders.clear();
     targets.shares = undefined;
   }
 
-  /** A target is another one under the same id: its service, place or state may have changed. */
-  update(holder: T, target: SteeredTarget): void {
-    const before = holder.target;
+  /**
+   * Replaces the target of an entry; its service, location or state may have
+   * changed.
+   */
+  update(entry: T, target: SteeredTarget): void {
+    const before = entry.target;
     if (before.service !== target.service || before.region !== target.region) {
       this.delete(target.id);
-      holder.target = target;
-      this.add(holder);
+      entry.target = target;
+      this.add(entry);
       return;
     }
-    holder.target = target;
+    entry.target = target;
     this.#services.get(target.service)!.shares = undefined;
   }
 
   delete(id: TargetId): void {
-    const holder = this.#holders.get(id);
-    if (holder === undefined) {
+    const entry = this.#entries.get(id);
+    if (entry === undefined) {
       return;
     }
-    this.#holders.delete(id);
-    const targets = this.#services.get(holder.target.service)!;
-    targets.holders.splice(targets.holders.indexOf(holder), 1);
+    this.#entries.delete(id);
+    const targets = this.#services.get(entry.target.service)!;
+    targets.entries.splice(targets.entries.indexOf(entry), 1);
     targets.orders.clear();
     targets.shares = undefined;
   }
 
-  /** The targets of a service, in no order. */
+  /** The targets of a service in unspecified order. */
   ofService(service: ServiceId): readonly T[] {
-    return this.#services.get(service)?.holders ?? [];
+    return this.#services.get(service)?.entries ?? [];
   }
 
-  /** The targets of a service in the agreed order of an object. */
+  /** The targets of a service in the rendezvous order of an object. */
   *inOrder(service: ServiceId, object: number): Iterable<T> {
     const targets = this.#services.get(service);
     if (targets === undefined) {
       return;
     }
-    const basis = this.#basis(targets, object);
-    const order = keptOrder(targets, basis);
+    const params = this.#orderParams(targets, object);
+    const order = cachedOrder(targets, params);
     yield* order.first;
-    if (order.first.length < targets.holders.length) {
-      order.all ??= agreedOrder(targets.holders, basis);
+    if (order.first.length < targets.entries.length) {
+      order.all ??= rendezvousOrder(targets.entries, params);
       for (let at = order.first.length; at < order.all.length; at += 1) {
         yield order.all[at]!;
       }
     }
   }
 
-  /** Some targets of a service in the agreed order of an object. */
+  /** Sorts some targets of a service into the rendezvous order of an object. */
   sorted(
-    some: readonly T[],
+    entries: readonly T[],
     { service, object }: { service: ServiceId; object: number },
   ): readonly T[] {
     const targets = this.#services.get(service);
     return targets === undefined
       ? []
-      : agreedOrder(some, this.#basis(targets, object));
+      : rendezvousOrder(entries, this.#orderParams(targets, object));
   }
 
-  #basis(targets: ServiceTargets<T>, object: number): AgreedOrderBasis {
+  #orderParams(
+    targets: ServiceTargets<T>,
+    object: number,
+  ): RendezvousOrderParams {
     const from = this.#from;
     targets.shares ??= homeShares({
-      slots: this.#usableSlots(targets.holders),
+      slots: this.#usableSlots(targets.entries),
       vms: this.#vmsByRegion,
     });
     const share = targets.shares.get(from.region) ?? 1;
     return { object, from, isHomeHere: hasHome(object, from.region, share) };
   }
 
-  /** Slots by region, without those of targets that get nothing new. */
-  #usableSlots(holders: readonly T[]): ReadonlyMap<RegionId, number> {
+  /** Slots by region, without targets that receive no new requests. */
+  #usableSlots(entries: readonly T[]): ReadonlyMap<RegionId, number> {
     const slots = new Map<RegionId, number>();
-    for (const { target } of holders) {
+    for (const { target } of entries) {
       if (!target.leaving && !this.#evacuated.has(target.zone)) {
         const before = slots.get(target.region) ?? 0;
         slots.set(target.region, before + target.slots);
@@ -168,25 +181,25 @@
     return slots;
   }
 
-  #forgetShares(): void {
+  #invalidateShares(): void {
     for (const targets of this.#services.values()) {
       targets.shares = undefined;
     }
   }
 }
 
-function keptOrder<T extends TargetHolder>(
-  { holders, orders }: ServiceTargets<T>,
-  basis: AgreedOrderBasis,
-): KeptOrder<T> {
-  const key = basis.object * 2 + Number(basis.isHomeHere);
+function cachedOrder<T extends TargetEntry>(
+  { entries, orders }: ServiceTargets<T>,
+  params: RendezvousOrderParams,
+): CachedOrder<T> {
+  const key = params.object * 2 + Number(params.isHomeHere);
   let order = orders.get(key);
   if (order === undefined) {
-    if (orders.size >= MOST_ORDERS) {
+    if (orders.size >= MAX_CACHED_ORDERS) {
       orders.clear();
     }
     order = {
-      first: firstOfOrder(holders, basis, FOUND_FIRST),
+      first: firstInOrder(entries, params, INITIAL_ORDER_LENGTH),
       all: undefined,
     };
     orders.set(key, order);
--- a/packages/placement/src/target_index_test.ts
+++ b/packages/placement/src/target_index_test.ts
@@ -1,5 +1,5 @@
 /**
- * The index of targets while targets and VMs change.
+ * The target index while targets and VMs change.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
 import type { RegionId, ServiceId, TargetId, ZoneId } from "@poplarthread/ids";
-import { agreedOrder, firstOfOrder, hasHome } from "./agreed_order.ts";
+import { firstInOrder, hasHome, rendezvousOrder } from "./agreed_order.ts";
 import { hashText } from "./hash.ts";
 import { homeShares } from "./home_shares.ts";
 import type { Place, SteeredTarget } from "./target.ts";
@@ -38,17 +38,17 @@
   };
 }
 
-/** A target that counts how often an order is computed from it. */
+/** A target that counts how often its weight in an order is computed. */
 class CountedTarget {
   readonly target: SteeredTarget;
-  static weighed = 0;
+  static scored = 0;
 
   constructor(name: number) {
     const { hash, ...rest } = target(name);
     this.target = {
       ...rest,
       get hash() {
-        CountedTarget.weighed += 1;
+        CountedTarget.scored += 1;
         return hash;
       },
     };
@@ -63,17 +63,17 @@
 }
 
 describe("the first targets of an order", () => {
-  test("are those that sorting all of them finds", () => {
+  test("are the same as after sorting all of them", () => {
     fc.assert(fc.property(
       fc.uniqueArray(fc.nat(500), { maxLength: 60 }),
       fc.integer({ min: 1, max: 30 }),
       fc.nat(),
       fc.boolean(),
-      (names, most, object, isHomeHere) => {
-        const holders = names.map((name) => ({ target: target(name) }));
-        const basis = { object, from: FROM, isHomeHere };
-        expect(firstOfOrder(holders, basis, most))
-          .toEqual(agreedOrder(holders, basis).slice(0, most));
+      (names, count, object, isHomeHere) => {
+        const entries = names.map((name) => ({ target: target(name) }));
+        const params = { object, from: FROM, isHomeHere };
+        expect(firstInOrder(entries, params, count))
+          .toEqual(rendezvousOrder(entries, params).slice(0, count));
       },
     ));
   });
@@ -89,10 +89,10 @@
     fc.record({ kind: fc.constant("evacuate" as const), name: fc.nat(2) }),
   );
 
-  test("gives the order that one computed from nothing gives", () => {
-    // Targets leave, come back in another place and start anew while requests use
-    // the order. If an order outlived such a change, VMs would disagree on the home
-    // of an object, and each of them would warm another target.
+  test("returns the same order as one computed from scratch", () => {
+    // Targets leave, move to another region and restart while requests use the
+    // order. If a cached order outlived such a change, VMs would disagree on the
+    // home of an object, and each would warm another target.
     fc.assert(fc.property(
       fc.array(change, { maxLength: 60 }),
       fc.nat(20),
@@ -103,12 +103,12 @@
         let evacuated = new Set<string>();
         index.setVms(members);
         const set = (next: SteeredTarget) => {
-          const holder = index.get(next.id);
+          const entry = index.get(next.id);
           known.set(next.id, next);
-          if (holder === undefined) {
+          if (entry === undefined) {
             index.add({ target: next });
           } else {
-            index.update(holder, next);
+            index.update(entry, next);
           }
         };
         for (const { kind, name } of changes) {
@@ -136,57 +136,62 @@
               break;
           }
           const order = [...index.inOrder(SERVICE, object)]
-            .map((holder) => holder.target);
+            .map((entry) => entry.target);
           expect(order).toEqual(
-            computedAnew([...known.values()], { members, evacuated, object }),
+            computeFromScratch([...known.values()], {
+              members,
+              evacuated,
+              object,
+            }),
           );
         }
       },
     ));
   });
 
-  test("computes no order anew when VMs come and go", () => {
-    // All VMs are restarted one after the other. Were all orders thrown away at each
-    // of these changes, a VM would sort all targets for nearly each request, just
-    // while others are away and it has more to do.
+  test("recomputes no order when VMs are added or removed", () => {
+    // All VMs are restarted one after the other. If each of these changes
+    // invalidated all orders, a VM would sort all targets for nearly every request
+    // while it also handles the load of the VMs that are down.
     const index = new TargetIndex<{ target: SteeredTarget }>(FROM);
     index.setVms(vms(100, 100));
     for (let name = 0; name < 700; name++) {
       index.add(new CountedTarget(name));
     }
     const objects = Array.from({ length: 50 }, (_, object) => object * 7_919);
-    const first = (object: number) => {
-      for (const holder of index.inOrder(SERVICE, object)) {
-        return holder;
+    const firstInCachedOrder = (object: number) => {
+      for (const entry of index.inOrder(SERVICE, object)) {
+        return entry;
       }
     };
-    objects.forEach(first);
-    CountedTarget.weighed = 0;
+    objects.forEach(firstInCachedOrder);
+    CountedTarget.scored = 0;
     for (let restarted = 0; restarted < 100; restarted++) {
       index.setVms(vms(99, 100));
-      objects.forEach(first);
+      objects.forEach(firstInCachedOrder);
       index.setVms(vms(100, 100));
-      objects.forEach(first);
+      objects.forEach(firstInCachedOrder);
     }
-    // An object near the edge of what the region is home to may change sides once.
-    expect(CountedTarget.weighed).toBeLessThanOrEqual(2 * 700);
+    // An object at the boundary of the region's home share may move to another
+    // region and back once.
+    expect(CountedTarget.scored).toBeLessThanOrEqual(2 * 700);
   });
 });
 
-interface Computed {
+interface OrderInputs {
   readonly members: readonly { readonly region: RegionId }[];
   readonly evacuated: ReadonlySet<string>;
   readonly object: number;
 }
 
-function computedAnew(
+function computeFromScratch(
   targets: readonly SteeredTarget[],
-  { members, evacuated, object }: Computed,
+  { members, evacuated, object }: OrderInputs,
 ): readonly SteeredTarget[] {
   const slots = new Map<RegionId, number>();
-  for (const { region, zone, leaving, slots: own } of targets) {
+  for (const { region, zone, leaving, slots: targetSlots } of targets) {
     if (!leaving && !evacuated.has(zone)) {
-      slots.set(region, (slots.get(region) ?? 0) + own);
+      slots.set(region, (slots.get(region) ?? 0) + targetSlots);
     }
   }
   const counts = new Map<RegionId, number>();
@@ -195,9 +200,9 @@
   }
   const share = homeShares({ slots, vms: counts }).get(FROM.region) ?? 1;
   const isHomeHere = hasHome(object, FROM.region, share);
-  return agreedOrder(targets.map((one) => ({ target: one })), {
+  return rendezvousOrder(targets.map((one) => ({ target: one })), {
     object,
     from: FROM,
     isHomeHere,
-  }).map((holder) => holder.target);
+  }).map((entry) => entry.target);
 }
--- a/packages/placement/src/target_limits.ts
+++ b/packages/placement/src/target_limits.ts
@@ -1,79 +1,97 @@
 /**
- * Limits that targets in need name for all VMs together.
+ * Rate limits that overloaded targets report; each holds for all VMs together.
  *
- * Answers a target that asks for less while it gets its usual load. Each VM sees
- * only its own requests, so one that keeps the limit by itself sends a multiple of
- * it together with the others. A target's owner sends half of what the target takes;
- * a further part is divided evenly among all VMs, so that they also notice the end of a
- * limit whose owner has no requests for the target.
+ * A target reports a limit while it receives its usual load. Each VM sees only its
+ * own requests, so VMs that each kept the whole limit would together send a
+ * multiple of it. The target's owner therefore sends half of the limit. A further
+ * share is divided evenly among all VMs, so that they notice the end of a limit
+ * even if its owner has no requests for the target.
  *
  * @module
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import { hasTurn } from "./turns.ts";
+import { hasUnusedSlice } from "./turns.ts";
 
-/** What a target says of its limit. */
+/** A rate limit as a target reported it. */
 export interface NamedLimit {
-  /** Requests a second that it takes from all VMs together; undefined where it has no limit any more. */
+  /**
+   * Requests per second that the target accepts from all VMs together; undefined if
+   * it no longer has a limit.
+   */
   readonly perSecond: number | undefined;
-  /** When it said so, in milliseconds of the monotonic clock. */
+  /** When the target reported it, in milliseconds of the monotonic clock. */
   readonly at: number;
 }
 
-/** The part that a VM has in what a target takes. */
-export interface LimitPart {
-  /** How much of the owner's part it has, 0 to 1. */
+/** This VM's share of a limit. */
+export interface LimitShare {
+  /** This VM's share of what the owner may use, 0 to 1. */
   readonly ownerShare: number;
-  /** VMs that share the limit, heard or not. */
-  readonly allVms: number;
-  /** See {@link Turns}. */
+  /** VMs that share the limit, reachable or not. */
+  readonly totalVms: number;
+  /** See {@link TimeSlices}. */
   readonly phase: number;
 }
 
-/** What a target said last. */
+/** The last report of a target, and when this VM last sent a request to it. */
 interface Limit {
   perSecond: number | undefined;
-  namedAt: number;
+  reportedAt: number;
   sentAt: number;
 }
 
 /**
- * Part of a limit that the owner uses. With it alone, little of a limited service would
- * be used, since each VM's requests need one of the few targets that it owns. Two owners
- * at once, as after a VM's loss, stay below one and a half times the limit.
+ * Share of a limit that its owner uses. If it were the only share, a service with
+ * limited targets would get little traffic, because each VM could send only to the
+ * few targets that it owns. Two owners at once, as after the loss of a VM, stay
+ * below one and a half times the limit.
  */
 const OWNER_SHARE = 0.5;
-/** Part that all VMs use alike. With it alone, little of a single limited target would be used, since most VMs have few requests for it. */
-const ALIKE_SHARE = 0.4;
-/** A target that takes nothing gets this many requests a second, or nobody would learn that it takes some again. */
-const LEAST_PER_SECOND = 0.05;
+/**
+ * Share that is divided evenly among all VMs. If it were the only share, a single
+ * limited target would get little traffic, because most VMs have few requests for
+ * it.
+ */
+const EVEN_SHARE = 0.4;
+/**
+ * Minimum rate for a target that accepts no requests; without it no VM would notice
+ * when it accepts some again.
+ */
+const MIN_PER_SECOND = 0.05;
 
-/** The limits in force, as this VM knows them. Times are milliseconds of the monotonic clock. */
+/** Limits known to this VM. Times are milliseconds of the monotonic clock. */
 export class TargetLimits {
   readonly #limits = new Map<TargetId, Limit>();
 
-  /** How many targets have a limit. */
+  /** Number of targets with a limit. */
   get size(): number {
     return [...this.#limits.keys()].filter((target) => this.has(target)).length;
   }
 
-  /** Takes in what a target says, or what it said as another VM tells; true if that is news. */
-  named(target: TargetId, { perSecond, at }: NamedLimit): boolean {
+  /**
+   * Applies a report received from a target or relayed by another VM; true if the
+   * limit has changed.
+   */
+  update(target: TargetId, { perSecond, at }: NamedLimit): boolean {
     const known = this.#limits.get(target);
     if (known === undefined) {
       if (perSecond !== undefined) {
-        this.#limits.set(target, { perSecond, namedAt: at, sentAt: -Infinity });
+        this.#limits.set(target, {
+          perSecond,
+          reportedAt: at,
+          sentAt: -Infinity,
+        });
       }
       return perSecond !== undefined;
     }
-    if (at < known.namedAt) {
+    if (at < known.reportedAt) {
       return false;
     }
-    const isNews = known.perSecond !== perSecond;
-    known.namedAt = at;
+    const hasChanged = known.perSecond !== perSecond;
+    known.reportedAt = at;
     known.perSecond = perSecond;
-    return isNews;
+    return hasChanged;
   }
 
   /** Whether the target has a limit. */
@@ -82,19 +100,19 @@
   }
 
   /** Whether this VM may send one more request now. */
-  maySend(target: TargetId, now: number, part: LimitPart): boolean {
+  maySend(target: TargetId, now: number, share: LimitShare): boolean {
     const limit = this.#limits.get(target);
     if (limit?.perSecond === undefined) {
       return true;
     }
-    const perSecond = perSecondOf(limit.perSecond, part);
-    return hasTurn({ perSecond, phase: part.phase }, {
+    const perSecond = sharePerSecond(limit.perSecond, share);
+    return hasUnusedSlice({ perSecond, phase: share.phase }, {
       now,
       sentAt: limit.sentAt,
     });
   }
 
-  /** A request is sent. */
+  /** Records that a request was sent. */
   sent(target: TargetId, now: number): void {
     const limit = this.#limits.get(target);
     if (limit !== undefined) {
@@ -102,14 +120,17 @@
     }
   }
 
-  /** The target is gone, or lives anew. */
-  forget(target: TargetId): void {
+  /** Removes the limit of a target that no longer exists or has restarted. */
+  remove(target: TargetId): void {
     this.#limits.delete(target);
   }
 }
 
-/** Requests a second that this VM may send. */
-function perSecondOf(limit: number, { ownerShare, allVms }: LimitPart): number {
-  const share = OWNER_SHARE * ownerShare + ALIKE_SHARE / allVms;
-  return Math.max(LEAST_PER_SECOND, limit) * share;
+/** Requests per second that this VM may send. */
+function sharePerSecond(
+  limit: number,
+  { ownerShare, totalVms }: LimitShare,
+): number {
+  const share = OWNER_SHARE * ownerShare + EVEN_SHARE / totalVms;
+  return Math.max(MIN_PER_SECOND, limit) * share;
 }
--- a/packages/placement/src/target_load.ts
+++ b/packages/placement/src/target_load.ts
@@ -1,15 +1,15 @@
 /**
- * How much work waits at one target.
+ * Load estimate of one target.
  *
- * Answers the load of several VMs that share few slots. A VM sees its own
- * requests, and the others' only in the load that the target reports with each
- * answer. Without the report each VM would fill the same slots, and one would
- * notice targets that turn requests away while others stand idle.
+ * Several VMs share a target's few slots, and each VM knows the others' requests
+ * only from the load that the target reports with each response. Without these
+ * reports all VMs would fill the same slots, and targets would refuse requests
+ * while others are idle.
  *
  * @module
  */
 
-/** What a target says of its own load. */
+/** A target's report of its own load. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
@@ -17,53 +17,53 @@
 }
 
 /**
- * Half-life, in milliseconds, of what a report says about the other VMs'
- * requests: some seven warm service times of the deployments (100 to 200 ms). The
- * other VMs send new requests for those that leave, so a report is worth more than
- * the requests that it counted; one that is seconds old says nothing.
+ * Half-life of the reported number of other VMs' requests: about seven warm service
+ * times of the deployments (100 to 200 ms). The other VMs replace completed
+ * requests with new ones, so a report stays useful for longer than the requests it
+ * counted, but after some seconds it is obsolete.
  */
 const REPORT_HALF_LIFE_MS = 1_000;
 
-/** Tracks one target. Times are milliseconds of the monotonic clock. */
+/** Tracks the load of one target. Times are milliseconds of the monotonic clock. */
 export class TargetLoad {
-  /** Requests of this VM that the target has not answered. */
-  #own = 0;
-  #others = 0;
+  /** Pending requests of this VM. */
+  #local = 0;
+  #remote = 0;
   #reportedAt = 0;
 
-  /** A request was sent. */
+  /** Records that a request was sent. */
   sent(): void {
-    this.#own += 1;
+    this.#local += 1;
   }
 
-  /** A request ended, however it did. */
+  /** Records that a request ended, whatever its outcome. */
   ended(): void {
-    this.#own -= 1;
+    this.#local -= 1;
   }
 
-  /** Takes in a report that came with an answer, after {@link ended}. */
+  /** Applies a load report received with a response; call it after {@link ended}. */
   reported(report: LoadReport, now: number): void {
     const total = report.running + report.waiting;
-    this.#others = Math.max(0, total - this.#own);
+    this.#remote = Math.max(0, total - this.#local);
     this.#reportedAt = now;
   }
 
-  /** Requests of all VMs that are likely at the target now. */
+  /** Estimated number of requests of all VMs at the target. */
   inFlight(now: number): number {
     const age = now - this.#reportedAt;
-    return this.#own + this.#others * 2 ** (-age / REPORT_HALF_LIFE_MS);
+    return this.#local + this.#remote * 2 ** (-age / REPORT_HALF_LIFE_MS);
   }
 
-  /** Expected wait for a slot, in milliseconds. */
-  waitMs(now: number, { slots, serviceMs }: WaitBasis): number {
+  /** Expected wait for a slot in milliseconds. */
+  waitMs(now: number, { slots, serviceMs }: WaitParams): number {
     const ahead = this.inFlight(now) - slots + 1;
     return ahead <= 0 ? 0 : ahead * serviceMs / slots;
   }
 }
 
-/** What the wait for a slot is computed from. */
-export interface WaitBasis {
+/** Parameters of the expected wait for a slot. */
+export interface WaitParams {
   readonly slots: number;
-  /** Mean time of one request on a slot, in milliseconds. */
+  /** Mean time that a request occupies a slot. */
   readonly serviceMs: number;
 }
--- a/packages/placement/src/target_owners.ts
+++ b/packages/placement/src/target_owners.ts
@@ -1,9 +1,10 @@
 /**
- * Which VM sends to a target that bears only a few requests a second.
+ * Target ownership: which VM may send to a target that can take only a few requests
+ * per second.
  *
- * Each VM alone stays below such a rate, their sum does not. So one VM owns each
- * such target, which all VMs compute alike from the list of VMs; the others pass
- * it over.
+ * If each VM applied such a rate on its own, their sum would exceed it. So each of
+ * these targets has one owner, which all VMs compute alike from the list of VMs by
+ * rendezvous hashing; the others skip the target.
  *
  * @module
  */
@@ -11,22 +12,25 @@
 import type { RegionId, TargetId, VmId } from "@poplarthread/ids";
 import { pairWeight } from "./hash.ts";
 
-/** A VM that may own targets. */
+/** A VM that can own targets. */
 export interface TargetOwner {
   readonly vm: VmId;
   readonly region: RegionId;
-  /** Hash of its name. */
+  /** Hash of the VM's name. */
   readonly hash: number;
 }
 
-/** The VM that sends to a target; undefined where no VM is known. */
+/**
+ * The VM that owns a target: one of the target's region if there is any; undefined
+ * if no VM is known.
+ */
 export function ownerOf(
   target: { hash: number; region: RegionId },
   vms: readonly TargetOwner[],
 ): VmId | undefined {
-  const near = vms.filter((vm) => vm.region === target.region);
+  const sameRegion = vms.filter((vm) => vm.region === target.region);
   let best: TargetOwner | undefined;
-  for (const vm of near.length > 0 ? near : vms) {
+  for (const vm of sameRegion.length > 0 ? sameRegion : vms) {
     if (
       best === undefined ||
       pairWeight(target.hash, vm.hash) > pairWeight(target.hash, best.hash)
@@ -37,12 +41,12 @@
   return best?.vm;
 }
 
-/** The VMs that own targets, computed for those of which it is asked. */
+/** Caches the owners of targets, each computed on first use. */
 export class TargetOwners {
   readonly #owners = new Map<TargetId, VmId | undefined>();
   #vms: readonly TargetOwner[] = [];
 
-  /** The VMs that take part. */
+  /** Sets the reachable VMs. */
   setVms(vms: readonly TargetOwner[]): void {
     this.#vms = vms;
     this.#owners.clear();
@@ -58,8 +62,8 @@
     return this.#owners.get(target.id);
   }
 
-  /** The target is gone. */
-  forget(target: TargetId): void {
+  /** Removes the cached owner of a target. */
+  remove(target: TargetId): void {
     this.#owners.delete(target);
   }
 }
--- a/packages/placement/src/target_rates.ts
+++ b/packages/placement/src/target_rates.ts
@@ -1,10 +1,11 @@
 /**
- * How fast this VM may send to targets whose rate all VMs share: cold ones, and
- * those that have named a limit.
+ * Rates at which this VM may send to cold and rate-limited targets, whose rate all
+ * VMs share.
  *
- * A VM that is cut off takes itself for the owner of all targets. Owners that hear
- * less than half of the VMs use as much of a rate as they hear of them, so that those
- * on all sides of a cut together stay below one and a half times the rate.
+ * A VM that is cut off from the others considers itself the owner of every target.
+ * So owners that reach at most half of the VMs use only the share of the rate that
+ * corresponds to the share of VMs they reach. All sides of a network partition
+ * together then stay below one and a half times the rate.
  *
  * @module
  */
@@ -16,59 +17,62 @@
 import { type NamedLimit, TargetLimits } from "./target_limits.ts";
 import { type TargetOwner, TargetOwners } from "./target_owners.ts";
 
-/** See the module's comment. Times are milliseconds of the monotonic clock. */
+/** Rates of all targets. Times are milliseconds of the monotonic clock. */
 export class TargetRates {
   readonly #vm: VmId;
   readonly #hash: number;
   readonly #owners = new TargetOwners();
   readonly #cold = new ColdTargets();
   readonly #limits = new TargetLimits();
-  #heardVms = 1;
-  #knownVms = 1;
+  #reachableVms = 1;
+  #fleetSize = 1;
 
   constructor(vm: VmId) {
     this.#vm = vm;
     this.#hash = hashText(vm);
   }
 
-  /** Targets that have named a limit. */
-  get limited(): number {
+  /** Number of targets with a limit. */
+  get limitedTargets(): number {
     return this.#limits.size;
   }
 
-  /** The VMs that are heard, this one among them. */
+  /** Sets the reachable VMs, including this one. */
   setVms(vms: readonly TargetOwner[]): void {
-    this.#heardVms = Math.max(1, vms.length);
+    this.#reachableVms = Math.max(1, vms.length);
     this.#owners.setVms(vms);
   }
 
-  /** VMs that share the rates, heard or not. */
+  /** Sets the number of VMs that share the rates, reachable or not. */
   setFleetSize(vms: number): void {
-    this.#knownVms = vms;
+    this.#fleetSize = vms;
   }
 
-  /** VMs that share the rates, as far as they are heard or known. */
-  get allVms(): number {
-    return Math.max(this.#heardVms, this.#knownVms);
+  /**
+   * Number of VMs that share the rates: the known or the reachable ones, whichever
+   * are more.
+   */
+  get totalVms(): number {
+    return Math.max(this.#reachableVms, this.#fleetSize);
   }
 
-  /** The target is cold until `until`. */
+  /** Treats the target as cold until `until`. */
   markCold(target: TargetId, until: number): void {
     this.#cold.mark(target, until);
   }
 
-  /** A target says whether it has a limit; true if that is news. */
-  limitNamed(target: TargetId, limit: NamedLimit): boolean {
-    return this.#limits.named(target, limit);
+  /** Applies a limit that a target reported; true if it has changed. */
+  updateLimit(target: TargetId, limit: NamedLimit): boolean {
+    return this.#limits.update(target, limit);
   }
 
-  /** Whether this VM may send to a target now. */
-  takes(target: SteeredTarget, now: number): boolean {
-    return this.#takesWhileCold(target, now) &&
-      (!this.#limits.has(target.id) || this.#takesWithinLimit(target, now));
+  /** Whether this VM may send to the target now. */
+  allows(target: SteeredTarget, now: number): boolean {
+    return this.#allowedWhileCold(target, now) &&
+      (!this.#limits.has(target.id) || this.#allowedWithinLimit(target, now));
   }
 
-  /** A request is sent to a target. */
+  /** Records that a request was sent to the target. */
   sent(target: TargetId, now: number): void {
     if (this.#cold.isCold(target, now)) {
       this.#cold.sent(target, now);
@@ -76,42 +80,42 @@
     this.#limits.sent(target, now);
   }
 
-  /** Another VM may own the target: its place is another one. */
-  moved(target: TargetId): void {
-    this.#owners.forget(target);
+  /** Drops the cached owner after the target's region has changed. */
+  relocated(target: TargetId): void {
+    this.#owners.remove(target);
   }
 
-  /** The target lives anew: it has named no limit. */
+  /** Drops the limit of the target's previous run. */
   restarted(target: TargetId): void {
-    this.#limits.forget(target);
+    this.#limits.remove(target);
   }
 
-  /** The target is gone. */
-  forget(target: TargetId): void {
-    this.#cold.forget(target);
-    this.#limits.forget(target);
-    this.#owners.forget(target);
+  /** Removes a target that no longer exists. */
+  remove(target: TargetId): void {
+    this.#cold.remove(target);
+    this.#limits.remove(target);
+    this.#owners.remove(target);
   }
 
-  #takesWhileCold(target: SteeredTarget, now: number): boolean {
+  #allowedWhileCold(target: SteeredTarget, now: number): boolean {
     return !this.#cold.isCold(target.id, now) ||
-      (this.#owns(target) && this.#sendsToCold(target, now));
+      (this.#owns(target) && this.#allowsColdRequest(target, now));
   }
 
-  #sendsToCold(target: SteeredTarget, now: number): boolean {
+  #allowsColdRequest(target: SteeredTarget, now: number): boolean {
     const { id, coldPerSecond } = target;
     return this.#cold.maySend(id, now, {
       perSecond: coldPerSecond,
-      share: this.#ownerShare,
-      phase: this.#phaseAt(target),
+      ownerShare: this.#ownerShare,
+      phase: this.#phaseFor(target),
     });
   }
 
-  #takesWithinLimit(target: SteeredTarget, now: number): boolean {
+  #allowedWithinLimit(target: SteeredTarget, now: number): boolean {
     return this.#limits.maySend(target.id, now, {
       ownerShare: this.#owns(target) ? this.#ownerShare : 0,
-      allVms: this.allVms,
-      phase: this.#phaseAt(target),
+      totalVms: this.totalVms,
+      phase: this.#phaseFor(target),
     });
   }
 
@@ -119,13 +123,13 @@
     return this.#owners.of(target) === this.#vm;
   }
 
-  /** Part of what an owner may send that this VM may send where it is the owner. */
+  /** Share of an owner's rate that this VM may use for the targets it owns. */
   get #ownerShare(): number {
-    const share = this.#heardVms / this.allVms;
+    const share = this.#reachableVms / this.totalVms;
     return share > 1 / 2 ? 1 : share;
   }
 
-  #phaseAt({ hash }: SteeredTarget): number {
+  #phaseFor({ hash }: SteeredTarget): number {
     return pairWeight(hash, this.#hash) / 2 ** 32;
   }
 }
--- a/packages/placement/src/testing.ts
+++ b/packages/placement/src/testing.ts
@@ -1,5 +1,5 @@
 /**
- * Targets for tests of placement.
+ * Targets, requests and VMs for tests of placement.
  *
  * @module
  */
@@ -19,10 +19,10 @@
 /** The service of all test targets. */
 export const SERVICE = "portal" as ServiceId;
 
-/** Longer than any wait in tests, in milliseconds. */
-const PATIENCE_MS = 10_000;
+/** Longer than any wait in the tests. */
+const DEADLINE_MS = 10_000;
 
-/** A request for an object that comes at `now`. */
+/** A request for an object that arrives at `now`. */
 export function requestFor(
   object: string,
   { now, kind = "view" }: { now: number; kind?: string },
@@ -34,20 +34,22 @@
     object: hashText(object),
     regions: [],
     arrivedAt: now,
-    answerBy: now + PATIENCE_MS,
+    answerBy: now + DEADLINE_MS,
     tried: new Set(),
   };
 }
 
-/** Where a decision sends its request; throws where it does not. */
+/** The target of a decision; throws if the request was not sent. */
 export function targetOf(decision: PlacementDecision): TargetId {
   if (decision.kind !== "send") {
-    throw new TypeError(`expected a target, got ${decision.kind}`);
+    throw new TypeError(
+      `expected a decision of kind "send", got "${decision.kind}"`,
+    );
   }
   return decision.target;
 }
 
-/** A target in a zone `REGION-1`. */
+/** A target in the zone `REGION-1`. */
 export function targetIn(region: string, name: string): SteeredTarget {
   return {
     id: name as TargetId,
@@ -61,7 +63,7 @@
   };
 }
 
-/** Targets `REGION-0` and so on. */
+/** Targets named `REGION-0`, `REGION-1` and so on. */
 export function targetsIn(region: string, count: number): SteeredTarget[] {
   return Array.from(
     { length: count },
@@ -69,7 +71,10 @@
   );
 }
 
-/** The steering of a VM in `region` that knows `targets`, and one VM in each region. */
+/**
+ * The steering of a VM in `region` with the given targets, in a fleet of one VM in
+ * each region of `vms`.
+ */
 export function steeringIn(
   region: string,
   targets: readonly SteeredTarget[],
--- a/packages/placement/src/testing_fleet.ts
+++ b/packages/placement/src/testing_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Fleets of VMs that send to targets, for tests of what all VMs send together.
+ * Simulated fleets of VMs, for tests of the requests that all VMs send together.
  *
  * @module
  */
@@ -11,16 +11,19 @@
 import type { SteeredTarget } from "./target.ts";
 import { requestFor } from "./testing.ts";
 
-/** Regions of a fleet's VMs, in turn. */
+/** Regions that VMs are assigned to in rotation. */
 export const REGIONS = ["north", "south", "east"];
-/** An answer counts as known to a VM this long after it came, in milliseconds. */
-const TOLD_MS = 500;
+/**
+ * Time after a response with a limit from which on the VM's requests count as
+ * informed of it.
+ */
+const KNOWN_AFTER_MS = 500;
 const STEP_MS = 5;
-const ANSWER_MS = 120;
-/** Requests that wait are placed again after this long, in milliseconds. */
-const WAIT_MS = 50;
-const PATIENCE_MS = 1_000;
-/** Objects of the requests. */
+const RESPONSE_MS = 120;
+/** Interval after which a waiting request is placed again. */
+const RETRY_INTERVAL_MS = 50;
+const DEADLINE_MS = 1_000;
+/** Number of different objects in the requests. */
 const OBJECTS = 40;
 
 /** A VM of a fleet. */
@@ -29,27 +32,30 @@
   readonly region: RegionId;
   readonly hash: number;
   steering: Steering;
-  /** When it was first answered with a limit, by target. */
-  toldAt: Map<TargetId, number>;
+  /** When a response first reported a limit, by target. */
+  limitSeenAt: Map<TargetId, number>;
   isUp: boolean;
 }
 
 interface Arrival {
   readonly target: TargetId;
   readonly at: number;
-  /** It came from a VM that had been told. */
-  readonly isTold: boolean;
+  /** It came from a VM that had been informed of the limit. */
+  readonly knewLimit: boolean;
 }
 
-/** VMs that send to targets with limits, and hear of each other who is up. */
+/** VMs that send requests to targets with limits, and know which of them are up. */
 export class Fleet {
   readonly vms: FleetVm[];
   readonly arrivals: Arrival[] = [];
   readonly limits = new Map<TargetId, number>();
   refused = 0;
   now = 0;
-  /** Time until all VMs hear what a target said to one of them; they don't if it is left out. */
-  newsMs: number | undefined;
+  /**
+   * Time until all VMs receive a limit that a target reported to one of them; if
+   * undefined, they receive none.
+   */
+  updateDelayMs: number | undefined;
   readonly #targets: readonly SteeredTarget[];
   readonly #random = randomFrom(7);
   #due: { at: number; run: () => void }[] = [];
@@ -64,35 +70,38 @@
         region,
         hash: hashText(vm),
         steering: this.#steering(vm, region),
-        toldAt: new Map(),
+        limitSeenAt: new Map(),
         isUp: true,
       };
     });
-    this.meet(() => this.vms);
+    this.setReachable(() => this.vms);
   }
 
-  /** From now on each VM takes part with those of `groupOf` that are up. */
-  meet(groupOf: (vm: FleetVm) => readonly FleetVm[]): void {
+  /** Sets the VMs that each VM can reach; those that are down are left out. */
+  setReachable(reachableFrom: (vm: FleetVm) => readonly FleetVm[]): void {
     for (const one of this.vms) {
-      one.steering.setVms(groupOf(one).filter(({ isUp }) => isUp));
+      one.steering.setVms(reachableFrom(one).filter(({ isUp }) => isUp));
       one.steering.setFleetSize(this.vms.length);
     }
   }
 
   stop(vm: FleetVm): void {
     vm.isUp = false;
-    this.meet(() => this.vms);
+    this.setReachable(() => this.vms);
   }
 
   start(vm: FleetVm): void {
     vm.isUp = true;
-    vm.toldAt = new Map();
+    vm.limitSeenAt = new Map();
     vm.steering = this.#steering(vm.vm, vm.region);
-    this.meet(() => this.vms);
+    this.setReachable(() => this.vms);
   }
 
-  /** Requests come at VMs drawn at random, `perSecond` at all of them together. */
-  play(ms: number, perSecond: number): void {
+  /**
+   * Simulates `ms` milliseconds in which requests arrive at random VMs, `perSecond`
+   * over all of them.
+   */
+  run(ms: number, perSecond: number): void {
     const until = this.now + ms;
     while (this.now < until) {
       this.now += STEP_MS;
@@ -106,30 +115,34 @@
     }
   }
 
-  /** The most requests in any window from `from` on: all, or those of VMs that had been told of a limit. */
-  most(target: TargetId, options: {
+  /**
+   * The highest number of requests in any window starting at `from` or later: of
+   * all VMs, or only of those informed of the limit.
+   */
+  maxInWindow(target: TargetId, options: {
     from: number;
     windowMs: number;
-    onlyTold?: boolean;
+    onlyInformed?: boolean;
   }): number {
-    const { from, windowMs, onlyTold = false } = options;
+    const { from, windowMs, onlyInformed = false } = options;
     const times = this.arrivals
       .filter((one) =>
-        one.target === target && one.at >= from && (one.isTold || !onlyTold)
+        one.target === target && one.at >= from &&
+        (one.knewLimit || !onlyInformed)
       )
       .map(({ at }) => at);
-    let most = 0;
+    let max = 0;
     let first = 0;
     times.forEach((at, index) => {
       while (at - times[first]! >= windowMs) {
         first += 1;
       }
-      most = Math.max(most, index - first + 1);
+      max = Math.max(max, index - first + 1);
     });
-    return most;
+    return max;
   }
 
-  /** Requests a second that a target got from `from` on. */
+  /** Requests per second that a target received since `from`. */
   rate(target: TargetId, from: number): number {
     const count = this.arrivals
       .filter((one) => one.target === target && one.at >= from).length;
@@ -143,7 +156,7 @@
     const { now } = this;
     this.#place(vm, object, {
       ...requestFor(object, { now }),
-      answerBy: now + PATIENCE_MS,
+      answerBy: now + DEADLINE_MS,
     });
   }
 
@@ -156,19 +169,23 @@
         this.refused += 1;
         return;
       case "wait":
-        this.#after(WAIT_MS, () => this.#place(vm, object, request));
+        this.#after(RETRY_INTERVAL_MS, () => this.#place(vm, object, request));
         return;
       case "send":
         break;
     }
     const { target } = decision;
-    const toldAt = vm.toldAt.get(target) ?? Infinity;
-    this.arrivals.push({ target, at: now, isTold: toldAt + TOLD_MS <= now });
+    const limitSeenAt = vm.limitSeenAt.get(target) ?? Infinity;
+    this.arrivals.push({
+      target,
+      at: now,
+      knewLimit: limitSeenAt + KNOWN_AFTER_MS <= now,
+    });
     steering.sent(target, now);
     steering.written(target, now);
     this.#after(
-      ANSWER_MS,
-      () => this.#answer(vm, steering, { target, object, now }),
+      RESPONSE_MS,
+      () => this.#respond(vm, steering, { target, object, now }),
     );
   }
 
@@ -176,7 +193,7 @@
     this.#due.push({ at: this.now + ms, run });
   }
 
-  #answer(
+  #respond(
     vm: FleetVm,
     steering: Steering,
     { target, object, now: writtenAt }: {
@@ -196,12 +213,14 @@
     }, { now, writtenAt });
     const perSecond = this.limits.get(target);
     if (vm.steering === steering && perSecond !== undefined) {
-      vm.toldAt.set(target, vm.toldAt.get(target) ?? now);
+      vm.limitSeenAt.set(target, vm.limitSeenAt.get(target) ?? now);
     }
     const limit = { perSecond, at: now };
-    if (steering.limitNamed(target, limit) && this.newsMs !== undefined) {
+    if (
+      steering.limitNamed(target, limit) && this.updateDelayMs !== undefined
+    ) {
       this.#after(
-        this.newsMs,
+        this.updateDelayMs,
         () => this.vms.forEach((vm) => vm.steering.limitNamed(target, limit)),
       );
     }
@@ -218,7 +237,7 @@
   }
 }
 
-/** Numbers from 0 up to 1 that are the same in each run. */
+/** A deterministic generator of numbers from 0 up to 1. */
 function randomFrom(seed: number): () => number {
   let state = seed;
   return () => {
--- a/packages/placement/src/turns.ts
+++ b/packages/placement/src/turns.ts
@@ -1,29 +1,36 @@
 /**
- * Turns of a VM in a rate that many VMs share without hearing each other.
+ * Time slices of a rate that many VMs share without communicating.
  *
- * Each VM sends one request in each of its turns, which come at even times. A turn
- * that is not used is lost: kept, those of all VMs could be used at once.
+ * Each VM may send one request in each of its slices, which recur at regular
+ * intervals. An unused slice expires: if slices were saved up, those of all VMs
+ * could be used at once.
  *
  * @module
  */
 
-/** Length of a turn at the most, in milliseconds. */
-const TURN_MS = 1_000;
+/** Maximum length of a slice. */
+const MAX_SLICE_MS = 1_000;
 
-/** What a VM's turns follow from. */
-export interface Turns {
-  /** Requests a second that it may send. */
+/** Parameters of a VM's slices. */
+export interface TimeSlices {
+  /** Requests per second that the VM may send. */
   readonly perSecond: number;
-  /** Where its turns lie in the time from one to the next, 0 up to 1: another place for each VM. */
+  /**
+   * Offset of the slices within their interval, from 0 up to 1; it differs between
+   * VMs.
+   */
   readonly phase: number;
 }
 
-/** Whether it has a turn at `now` that it has not used: it sent its last request at `sentAt`, in milliseconds. */
-export function hasTurn(
-  { perSecond, phase }: Turns,
+/**
+ * Whether `now` is within a slice that is still unused, where the last request was
+ * sent at `sentAt`. Times are in milliseconds.
+ */
+export function hasUnusedSlice(
+  { perSecond, phase }: TimeSlices,
   { now, sentAt }: { readonly now: number; readonly sentAt: number },
 ): boolean {
-  const everyMs = 1_000 / perSecond;
-  const sinceTurnMs = (now / everyMs + phase) % 1 * everyMs;
-  return sinceTurnMs < TURN_MS && now - sentAt > sinceTurnMs;
+  const periodMs = 1_000 / perSecond;
+  const sinceSliceMs = (now / periodMs + phase) % 1 * periodMs;
+  return sinceSliceMs < MAX_SLICE_MS && now - sentAt > sinceSliceMs;
 }
