--- a/packages/placement/src/waiting_room.ts
+++ b/packages/placement/src/waiting_room.ts
@@ -1,16 +1,16 @@
 /**
- * Requests that wait on this VM for room at a target.
+ * Queue of requests that wait on this VM for capacity at a target.
  *
- * Answers more requests than slots. Sent on at once, they would fill the
- * targets' own queues, in which the most urgent ones wait behind all others and
- * from which targets turn requests away; one notices purchases that fail while
- * reads are served. Here the most urgent request goes first, among equals the
- * one that can still be in time.
+ * Under overload there are more requests than slots. If they were all sent on at
+ * once, they would fill the targets' own queues, in which urgent requests wait
+ * behind all others and which refuse requests when full: purchases would fail while
+ * reads succeed. In this queue the most urgent request goes first, and within one
+ * priority those that can still meet their latency objective go before late ones.
  *
- * Among those that are equal in that, client accounts take turns (start-time fair
- * queueing): served as they came, an account that sends many times its usual would
- * have nearly all turns, and the others' few requests would wait behind its many.
- * Requests of one account go as they came.
+ * Among requests equal in both, client accounts are served by start-time fair
+ * queueing. In order of arrival, an account that sends many times its usual load
+ * would get nearly all capacity, and the few requests of other accounts would wait
+ * behind it. Requests of one account are served in order of arrival.
  *
  * @module
  */
@@ -19,71 +19,77 @@
 
 /** A request that waits. */
 export interface Waiting {
-  /** Rank of its route; 0 goes first. */
+  /** Priority rank of its route; 0 is the most urgent. */
   readonly priority: number;
-  /** When its answer is still in time, in milliseconds of the monotonic clock. */
+  /** When its latency objective expires, in milliseconds of the monotonic clock. */
   readonly aimAt: number;
-  /** Whose it is; those of nobody take their turns together. */
+  /**
+   * The client account that it belongs to; requests without one count as one
+   * account.
+   */
   readonly account: AccountId | undefined;
 }
 
-interface Place<T> {
-  readonly one: T;
-  /** The lowest one goes first. */
-  readonly turn: number;
+interface QueuedItem<T> {
+  readonly request: T;
+  /** Start tag of start-time fair queueing; the lowest one goes first. */
+  readonly startTag: number;
 }
 
-/** Waiting requests of one service, in the order in which they go. */
+/** Priority queue of one service's requests with fair queueing among accounts. */
 export class WaitingRoom<T extends Waiting> {
-  readonly #waiting: Place<T>[] = [];
-  /** The last turn that each account was given since the room was empty. */
-  readonly #lastTurns = new Map<AccountId | undefined, number>();
+  readonly #items: QueuedItem<T>[] = [];
+  /** The last start tag given to each account since the queue was last empty. */
+  readonly #lastTags = new Map<AccountId | undefined, number>();
 
   get size(): number {
-    return this.#waiting.length;
+    return this.#items.length;
   }
 
-  /** How many requests go before one of `priority` that comes now. */
+  /** Number of queued requests that go before a new one of `priority`. */
   ahead(priority: number): number {
     let count = 0;
-    for (const { one } of this.#waiting) {
-      count += one.priority <= priority ? 1 : 0;
+    for (const { request } of this.#items) {
+      count += request.priority <= priority ? 1 : 0;
     }
     return count;
   }
 
-  add(one: T): void {
-    const last = this.#lastTurns.get(one.account) ?? 0;
-    const turn = Math.max(this.#firstTurn(), last) + 1;
-    this.#lastTurns.set(one.account, turn);
-    this.#waiting.push({ one, turn });
+  add(request: T): void {
+    const last = this.#lastTags.get(request.account) ?? 0;
+    const startTag = Math.max(this.#minStartTag(), last) + 1;
+    this.#lastTags.set(request.account, startTag);
+    this.#items.push({ request, startTag });
   }
 
-  remove(one: T): void {
-    const at = this.#waiting.findIndex((place) => place.one === one);
-    if (at >= 0) {
-      this.#waiting.splice(at, 1);
+  remove(request: T): void {
+    const index = this.#items.findIndex((item) => item.request === request);
+    if (index >= 0) {
+      this.#items.splice(index, 1);
     }
-    if (this.#waiting.length === 0) {
-      this.#lastTurns.clear();
+    if (this.#items.length === 0) {
+      this.#lastTags.clear();
     }
   }
 
-  /** All that wait, in the order in which they should go at `now`. */
+  /** All queued requests in the order in which they should be sent at `now`. */
   inOrder(now: number): readonly T[] {
-    return this.#waiting.toSorted((a, b) =>
-      a.one.priority - b.one.priority ||
-      Number(a.one.aimAt < now) - Number(b.one.aimAt < now) ||
-      a.turn - b.turn
-    ).map(({ one }) => one);
+    return this.#items.toSorted((a, b) =>
+      a.request.priority - b.request.priority ||
+      Number(a.request.aimAt < now) - Number(b.request.aimAt < now) ||
+      a.startTag - b.startTag
+    ).map(({ request }) => request);
   }
 
-  /** The turn of the one that is due next; an account that comes now has no earlier one. */
-  #firstTurn(): number {
-    let first = Infinity;
-    for (const { turn } of this.#waiting) {
-      first = Math.min(first, turn);
+  /**
+   * The lowest start tag in the queue. New requests get a higher one, whatever
+   * their account.
+   */
+  #minStartTag(): number {
+    let min = Infinity;
+    for (const { startTag } of this.#items) {
+      min = Math.min(min, startTag);
     }
-    return Number.isFinite(first) ? first : 0;
+    return Number.isFinite(min) ? min : 0;
   }
 }
--- a/packages/placement/src/waiting_room_test.ts
+++ b/packages/placement/src/waiting_room_test.ts
@@ -1,5 +1,5 @@
 /**
- * Turns of client accounts among requests that wait.
+ * Fair queueing of client accounts.
  *
  * @module
  */
@@ -24,50 +24,51 @@
   };
 }
 
-function names(room: WaitingRoom<Named>): readonly string[] {
-  return room.inOrder(0).map(({ name }) => name);
+function names(queue: WaitingRoom<Named>): readonly string[] {
+  return queue.inOrder(0).map(({ name }) => name);
 }
 
 describe("client accounts", () => {
-  test("take turns, however many requests one of them has waiting", () => {
-    // One account sends a hundred requests at once. Served as they came, the one
-    // request of another would wait for all of them, and its caller give up.
-    const room = new WaitingRoom<Named>();
+  test("alternate, however many requests one of them has queued", () => {
+    // One account sends a hundred requests at once. In order of arrival, the only
+    // request of another account would wait for all of them, and its caller would
+    // give up.
+    const queue = new WaitingRoom<Named>();
     for (let at = 0; at < 100; at++) {
-      room.add(request("busy", `busy-${at}`));
+      queue.add(request("busy", `busy-${at}`));
     }
-    room.add(request("small", "small-0"));
-    expect(names(room).indexOf("small-0")).toBeLessThan(3);
+    queue.add(request("small", "small-0"));
+    expect(names(queue).indexOf("small-0")).toBeLessThan(3);
   });
 
-  test("keep their turns where requests leave out of order", () => {
-    const room = new WaitingRoom<Named>();
+  test("keep their positions when requests leave out of order", () => {
+    const queue = new WaitingRoom<Named>();
     const busy = Array.from(
       { length: 50 },
       (_, at) => request("busy", `busy-${at}`),
     );
-    busy.forEach((one) => room.add(one));
-    room.remove(busy.at(-1)!);
-    room.add(request("small", "small-0"));
-    expect(names(room).indexOf("small-0")).toBeLessThan(3);
+    busy.forEach((one) => queue.add(one));
+    queue.remove(busy.at(-1)!);
+    queue.add(request("small", "small-0"));
+    expect(names(queue).indexOf("small-0")).toBeLessThan(3);
   });
 
-  test("with a tenth of another's load are served as often as they ask, under twice the load that fits", () => {
-    const room = new WaitingRoom<Named>();
+  test("with a tenth of another's load have all requests served at twice the capacity", () => {
+    const queue = new WaitingRoom<Named>();
     const served = new Map<string, number>();
     const asked = new Map<string, number>();
     const add = (account: string) => {
       asked.set(account, (asked.get(account) ?? 0) + 1);
-      room.add(request(account, account));
+      queue.add(request(account, account));
     };
-    for (let turn = 0; turn < 400; turn++) {
+    for (let round = 0; round < 400; round++) {
       add("busy");
       add("busy");
-      if (turn % 5 === 0) {
+      if (round % 5 === 0) {
         add("small");
       }
-      const [next] = room.inOrder(0);
-      room.remove(next!);
+      const [next] = queue.inOrder(0);
+      queue.remove(next!);
       served.set(next!.name, (served.get(next!.name) ?? 0) + 1);
     }
     expect(served.get("small")).toBeGreaterThanOrEqual(
@@ -75,26 +76,26 @@
     );
   });
 
-  test("go as they came where there is only one, or none", () => {
+  test("are served in order of arrival if there is only one, or none", () => {
     fc.assert(fc.property(
       fc.constantFrom("one", undefined),
       fc.array(fc.constantFrom("add", "first", "last"), { maxLength: 40 }),
       (account, steps) => {
-        const room = new WaitingRoom<Named>();
+        const queue = new WaitingRoom<Named>();
         const expected: Named[] = [];
         steps.forEach((step, at) => {
           if (step === "add") {
             const one = request(account, String(at));
-            room.add(one);
+            queue.add(one);
             expected.push(one);
             return;
           }
           const gone = step === "first" ? expected.shift() : expected.pop();
           if (gone !== undefined) {
-            room.remove(gone);
+            queue.remove(gone);
           }
         });
-        expect(room.inOrder(0)).toEqual(expected);
+        expect(queue.inOrder(0)).toEqual(expected);
       },
     ));
   });
--- a/packages/placement/src/warm_objects.ts
+++ b/packages/placement/src/warm_objects.ts
@@ -1,11 +1,11 @@
 /**
- * What this VM knows about which targets are warm for which objects, from its own
- * requests and from what the other VMs tell of theirs.
+ * Tracks which targets are warm for which objects, from this VM's requests and from
+ * the other VMs' notifications.
  *
- * Answers a fleet of which each VM sees only its part of the requests. By its own
- * alone, a VM takes most targets for cold that others have warmed; it then waits
- * for the few that it knows, or warms one more. One notices answers that are late
- * behind full targets while others that keep the same objects stand idle.
+ * Each VM sees only its share of the requests. From these alone it would consider
+ * most targets cold that others have warmed. It would then wait for the few that it
+ * knows, or warm another one, and responses would be late behind full targets while
+ * others with the same objects cached are idle.
  *
  * @module
  */
@@ -13,95 +13,104 @@
 import type { TargetId } from "@poplarthread/ids";
 
 /**
- * For how long a target is taken to keep an object after this VM last sent a
- * request for it there, in milliseconds. Targets keep some 30 objects, the least
- * recently used one goes first, and at the usual rates an object that is asked
- * for at all comes back within a few seconds.
+ * How long a target is assumed to cache an object after the last known request for
+ * it. Targets cache about 30 objects and evict the least recently used one first.
+ * At usual rates an object in use is requested again within a few seconds.
  */
-const KEPT_MS = 12_000;
-/** Objects that are remembered; beyond it the oldest go. With some five targets each, 5,000 objects take about 2 MB. */
-const MOST_OBJECTS = 5_000;
+const WARM_TTL_MS = 12_000;
+/**
+ * Maximum number of tracked objects; the least recently used are dropped first.
+ * With about five targets each, 5,000 objects take about 2 MB.
+ */
+const MAX_OBJECTS = 5_000;
 
 /**
- * A pair that is in use is told again after this long, in milliseconds: half of the
- * time for which the others believe it.
+ * A pair in use is published again after this time: half of the time for which
+ * other VMs assume it to be warm.
  */
-const TOLD_AGAIN_MS = KEPT_MS / 2;
+const REPUBLISH_MS = WARM_TTL_MS / 2;
 
-/** A target that handled an object lately. */
+/** A target that recently handled a request for an object. */
 export interface WarmPair {
   readonly object: number;
   readonly target: TargetId;
 }
 
-/** A pair as VMs tell each other of it, by the hashes of both names. */
+/** A pair as published to other VMs, with the hashes of both names. */
 export interface HashedPair {
   readonly object: number;
   readonly target: number;
 }
 
-/** What is known of a pair, in milliseconds. */
-interface Knowledge {
-  /** When some VM last sent a request for the object there, as far as this VM knows. */
+/** What is known of a pair; times are milliseconds of the monotonic clock. */
+interface PairState {
+  /**
+   * When any VM last sent a request for the object to the target, as far as this VM
+   * knows.
+   */
   readonly usedAt: number;
-  /** When the other VMs last heard of it. */
-  readonly toldAt: number;
+  /** When the pair was last published, by this VM or by another one. */
+  readonly publishedAt: number;
 }
 
-/** Remembers pairs of object and target. */
+/** Pairs of an object and a target that is warm for it. */
 export class WarmObjects {
-  /** In the order of last use, so that the oldest object is the first one. */
-  readonly #objects = new Map<number, Map<TargetId, Knowledge>>();
+  /** In order of last use, least recently used object first. */
+  readonly #objects = new Map<number, Map<TargetId, PairState>>();
 
-  /** A target answered this VM's request for the object; true if the other VMs should hear of it. */
-  used({ object, target }: WarmPair, now: number): boolean {
-    const toldAt = this.#objects.get(object)?.get(target)?.toldAt ?? -Infinity;
-    const isNews = now - toldAt >= TOLD_AGAIN_MS;
-    this.#note({ object, target }, {
+  /**
+   * Records that a target responded to this VM's request for the object; true if
+   * this should be published to the other VMs.
+   */
+  recordUse({ object, target }: WarmPair, now: number): boolean {
+    const publishedAt = this.#objects.get(object)?.get(target)?.publishedAt ??
+      -Infinity;
+    const shouldPublish = now - publishedAt >= REPUBLISH_MS;
+    this.#record({ object, target }, {
       usedAt: now,
-      toldAt: isNews ? now : toldAt,
+      publishedAt: shouldPublish ? now : publishedAt,
     });
-    return isNews;
+    return shouldPublish;
   }
 
-  /** Another VM tells that a target handled the object. */
-  heard(pair: WarmPair, now: number): void {
-    this.#note(pair, { usedAt: now, toldAt: now });
+  /** Records another VM's notification that a target handled the object. */
+  recordRemoteUse(pair: WarmPair, now: number): void {
+    this.#record(pair, { usedAt: now, publishedAt: now });
   }
 
-  /** Whether the target likely keeps the object. */
+  /** Whether the target probably has the object cached. */
   isWarm(object: number, target: TargetId, now: number): boolean {
     const known = this.#objects.get(object)?.get(target);
-    return known !== undefined && now - known.usedAt < KEPT_MS;
+    return known !== undefined && now - known.usedAt < WARM_TTL_MS;
   }
 
-  /** Targets that likely keep the object. */
+  /** Targets that probably have the object cached. */
   targetsOf(object: number, now: number): readonly TargetId[] {
     return [...(this.#objects.get(object) ?? [])]
-      .filter(([, { usedAt }]) => now - usedAt < KEPT_MS)
+      .filter(([, { usedAt }]) => now - usedAt < WARM_TTL_MS)
       .map(([target]) => target);
   }
 
-  /** All pairs that are likely warm, those of the object used last at the end. */
-  all(now: number): readonly WarmPair[] {
+  /** All pairs that are probably warm, those of the most recently used object last. */
+  warmPairs(now: number): readonly WarmPair[] {
     return [...this.#objects.keys()].flatMap((object) =>
       this.targetsOf(object, now).map((target) => ({ object, target }))
     );
   }
 
-  /** The target has started anew and keeps nothing. */
-  forget(target: TargetId): void {
+  /** Removes all pairs of a target that has restarted or no longer exists. */
+  removeTarget(target: TargetId): void {
     for (const known of this.#objects.values()) {
       known.delete(target);
     }
   }
 
-  #note({ object, target }: WarmPair, knowledge: Knowledge): void {
-    const known = this.#objects.get(object) ?? new Map<TargetId, Knowledge>();
+  #record({ object, target }: WarmPair, state: PairState): void {
+    const known = this.#objects.get(object) ?? new Map<TargetId, PairState>();
     this.#objects.delete(object);
-    known.set(target, knowledge);
+    known.set(target, state);
     this.#objects.set(object, known);
-    if (this.#objects.size > MOST_OBJECTS) {
+    if (this.#objects.size > MAX_OBJECTS) {
       const [oldest] = this.#objects.keys();
       this.#objects.delete(oldest!);
     }
--- a/packages/placement/src/weighs_first_test.ts
+++ b/packages/placement/src/weighs_first_test.ts
@@ -1,5 +1,6 @@
 /**
- * Weighing the likely targets first.
+ * Comparing the most likely targets first gives the same choice as comparing all of
+ * them.
  *
  * @module
  */
@@ -13,17 +14,17 @@
 import { SERVICE, targetsIn } from "./testing.ts";
 
 const TARGETS = [...targetsIn("north", 9), ...targetsIn("south", 9)];
-/** Steps are this far apart, in milliseconds. */
+/** Time between steps. */
 const STEP_MS = 40;
-/** Time of a run, in milliseconds. */
+/** Response time of a request. */
 const RUN_MS = 300;
 
-function steering(weighsFirst?: number): Steering {
+function steering(initialCandidates?: number): Steering {
   const one = new Steering({
     vm: "vm-north" as VmId,
     place: { region: "north" as RegionId, zone: "north-1" as ZoneId },
     retries: { ratio: 0.2, fixed: 50, windowMs: 10_000 },
-    ...(weighsFirst === undefined ? {} : { weighsFirst }),
+    ...(initialCandidates === undefined ? {} : { initialCandidates }),
   });
   one.setVms(["north", "south"].map((name) => ({
     vm: `vm-${name}` as VmId,
@@ -36,9 +37,9 @@
 
 type Step =
   | { readonly kind: "answered"; readonly waiting: number }
-  /** No connection to the chosen target comes about. */
+  /** No connection to the chosen target can be established. */
   | { readonly kind: "lost" }
-  /** All targets answer their probes. */
+  /** All targets respond to their probes. */
   | { readonly kind: "back" };
 
 const steps = fc.array(
@@ -108,9 +109,9 @@
 }
 
 /**
- * Two targets behind the ninth are warm and cost the same. Whoever takes them in the
- * order in which this VM used them chooses another one than its peers, and both
- * targets are kept warm where one would do.
+ * Two targets after the ninth are warm and have the same cost. A VM that compared
+ * them in the order in which it used them would choose another one than its peers,
+ * and both targets would be kept warm where one suffices.
  */
 const TIED: readonly Step[] = [
   ...times(2, LOST),
@@ -141,7 +142,7 @@
   ...times(2, LOST),
 ];
 
-test("chooses as if all targets were weighed, whatever is full, lost or warm", () => {
+test("chooses as if all targets were compared, whichever are full, lost or warm", () => {
   fc.assert(
     fc.property(steps, (steps) => {
       const both = [steering(), steering(Infinity)];
--- a/packages/placement/src/weighted_split.ts
+++ b/packages/placement/src/weighted_split.ts
@@ -13,27 +13,30 @@
 }
 
 /**
- * Takes parts in turn, smoothly: after any number of requests each part is
- * within one request of its share. Random choice would be off by a tenth for a
- * few dozen requests, which is what a VM sees of a route in some seconds.
+ * Smooth weighted round-robin: after any number of requests each part is within one
+ * request of its share. Random choice would be off by a tenth after a few dozen
+ * requests, which is what a VM receives for a route within some seconds.
  */
 export class WeightedSplit {
   readonly #parts: readonly SplitPart[];
   readonly #credit: number[];
   readonly #total: number;
 
-  /** `start`, in 0 to 1, is where this VM begins, so that VMs do not all begin alike. */
+  /**
+   * `start`, from 0 to 1, sets the position in the rotation where this VM begins,
+   * so that VMs don't all begin with the same service.
+   */
   constructor(parts: readonly SplitPart[], start: number) {
     this.#parts = parts.filter(({ weight }) => weight > 0);
     this.#total = this.#parts.reduce((sum, { weight }) => sum + weight, 0);
     this.#credit = this.#parts.map(() => 0);
     const skipped = Math.floor(start * this.#parts.length * 8);
-    for (let turn = 0; turn < skipped; turn++) {
+    for (let index = 0; index < skipped; index++) {
       this.next();
     }
   }
 
-  /** The service of the next request; undefined where no part has a weight. */
+  /** The service of the next request; undefined if no part has a positive weight. */
   next(): ServiceId | undefined {
     let best = 0;
     for (let at = 0; at < this.#parts.length; at++) {
