--- a/packages/placement/src/account_credit_test.ts
+++ b/packages/placement/src/account_credit_test.ts
@@ -53,14 +53,14 @@
 
 function maxInWindow(times: readonly number[]): number {
   let from = 0;
-  let most = 0;
+  let max = 0;
   times.forEach((time, to) => {
     while (time - times[from]! >= BOUND.windowMs) {
       from += 1;
     }
-    most = Math.max(most, to - from + 1);
+    max = Math.max(max, to - from + 1);
   });
-  return most;
+  return max;
 }
 
 describe("credit of an account", () => {
@@ -97,7 +97,7 @@
     expect(bucket.take(limit, 260)).toBe(true);
   });
 
-  test("is deducted from the lender before a loan, and no bucket exceeds its maximum", () => {
+  test("is deducted from the lender when it is lent, and no bucket exceeds its maximum", () => {
     const limit = { perSecond: 10, most: 10 };
     fc.assert(
       fc.property(
--- a/packages/placement/src/choose.ts
+++ b/packages/placement/src/choose.ts
@@ -1,14 +1,14 @@
 /**
  * Chooses the target of a request by cost.
  *
- * Targets respond about three times faster for objects that they handled recently,
- * and each VM sees only its own share of the load. If VMs chose without
- * coordination, each would warm different targets, requests would take three times
- * as long, and a service at half load would be overloaded, with long queues
- * everywhere at moderate load. With rendezvous hashing all VMs rank the targets of
- * an object alike without exchanging messages, and so share the same few targets.
- * The time that a warm target saves is compared, in milliseconds, with the round
- * trip and the queue.
+ * Targets respond about three times faster for objects that they handled recently
+ * and still have cached (the target is then warm for the object), and each VM sees
+ * only its own share of the load. If VMs chose without coordination, each would
+ * warm different targets, requests would take three times as long, and a service at
+ * half load would be overloaded, with long queues everywhere at moderate load. With
+ * rendezvous hashing all VMs rank the targets of an object alike without exchanging
+ * messages, and so share the same few targets. The time that a warm target saves is
+ * compared, in milliseconds, with the round trip and the queue.
  *
  * @module
  */
--- a/packages/placement/src/choose_test.ts
+++ b/packages/placement/src/choose_test.ts
@@ -52,7 +52,7 @@
     }
   });
 
-  test("moves only for objects of a removed target", () => {
+  test("moves only for objects whose home was the removed target", () => {
     const targets = targetsIn("north", 8);
     const before = steeringIn("north", targets);
     const after = steeringIn("north", targets.slice(1));
--- a/packages/placement/src/fleet_retry_budget.ts
+++ b/packages/placement/src/fleet_retry_budget.ts
@@ -1,10 +1,11 @@
 /**
  * This VM's share of the retries that all VMs together may send to a service.
  *
- * Prevents retry storms in deployments that bound retries in any window over all
- * VMs by a share of the requests plus a fixed number. Each VM may use the share of
- * its own requests and an equal part of the fixed number. The bound therefore holds
- * without any messages, even during a network partition.
+ * Prevents retry storms, like the token bucket of the decisions package, but for
+ * deployments that bound retries in any window over all VMs by a share of the
+ * requests plus a fixed number. Each VM may use the share of its own requests and
+ * an equal part of the fixed number. The bound therefore holds without any
+ * messages, even during a network partition.
  *
  * @module
  */
--- a/packages/placement/src/kind_times.ts
+++ b/packages/placement/src/kind_times.ts
@@ -28,8 +28,9 @@
  */
 const DEFAULT_SAVED_SHARE = 0.6;
 /**
- * Minimum share of the uncached time that counts as saved. It keeps requests at
- * their home target even if caching saves nothing for their kind.
+ * Minimum share of the uncached time that counts as saved. A lower one is
+ * implausible, as kinds that save nothing usually have no affinity; and with the
+ * minimum requests still prefer their home target.
  */
 const MIN_SAVED_SHARE = 0.3;
 
--- a/packages/placement/src/limits_test.ts
+++ b/packages/placement/src/limits_test.ts
@@ -69,8 +69,8 @@
 });
 
 test("a cold target that moves to another region has its owner there", () => {
-  // With a cached owner, VMs that learned of the target at different times would
-  // disagree on its owner for as long as it is listed.
+  // If VMs kept the cached owner, those that learned of the target at different
+  // times would disagree on its owner for as long as it is listed.
   const steering = steeringIn("north", [targetIn("north", "t-0")]);
   const decide = (now: number) =>
     steering.place(requestFor("a", { now }), { now, ahead: 0 }).kind;
--- a/packages/placement/src/steering.ts
+++ b/packages/placement/src/steering.ts
@@ -124,9 +124,9 @@
   /** Targets that may be unusable and need probes. */
   readonly #unhealthy = new Set<Entry>();
   readonly #rates: TargetRates;
-  readonly #warm = new WarmObjects();
-  readonly #times = new ServiceTimes();
-  readonly #kinds = new KindTimes();
+  readonly #warmObjects = new WarmObjects();
+  readonly #serviceTimes = new ServiceTimes();
+  readonly #kindTimes = new KindTimes();
   readonly #drainRates = new Map<ServiceId, DrainRate>();
   readonly #retryBudgets = new Map<ServiceId, FleetRetryBudget>();
   #evacuated: ReadonlySet<string> = new Set();
@@ -188,7 +188,7 @@
     }
     this.#index.delete(id);
     this.#rates.remove(id);
-    this.#warm.removeTarget(id);
+    this.#warmObjects.removeTarget(id);
   }
 
   /**
@@ -196,7 +196,7 @@
    * and its back-off.
    */
   restarted(id: TargetId): void {
-    this.#warm.removeTarget(id);
+    this.#warmObjects.removeTarget(id);
     this.#rates.restarted(id);
     this.#index.get(id)?.health.restarted();
   }
@@ -215,13 +215,13 @@
   heardWarm({ object, target }: HashedPair, now: number): void {
     const id = this.#idsByHash.get(target);
     if (id !== undefined) {
-      this.#warm.recordRemoteUse({ object, target: id }, now);
+      this.#warmObjects.recordRemoteUse({ object, target: id }, now);
     }
   }
 
   /** Pairs that are probably warm, for a VM that has just joined. */
   warmPairs(now: number): readonly HashedPair[] {
-    return this.#warm.warmPairs(now).flatMap(({ object, target }) => {
+    return this.#warmObjects.warmPairs(now).flatMap(({ object, target }) => {
       const entry = this.#index.get(target);
       return entry === undefined ? [] : [{ object, target: entry.target.hash }];
     });
@@ -255,7 +255,7 @@
     request: PlacementRequest,
     { now, ahead }: { now: number; ahead: number },
   ): PlacementDecision {
-    const serviceMs = this.#times.meanMs(request.service);
+    const serviceMs = this.#serviceTimes.meanMs(request.service);
     const initial = this.#usable(request, now, this.#initialCandidates);
     if (initial.length === 0) {
       return refusal("no-target", this.#retryAfterMs(request, now));
@@ -329,7 +329,7 @@
         entry.health.connectionBroke(writtenAt, now);
         return;
       case "abandoned":
-        entry.health.dropped(writtenAt);
+        entry.health.removePending(writtenAt);
         return;
     }
   }
@@ -355,7 +355,7 @@
   unreachable(id: TargetId, now: number): void {
     const entry = this.#index.get(id);
     if (entry !== undefined) {
-      entry.health.unreachable(now);
+      entry.health.markUnreachable(now);
       this.#unhealthy.add(entry);
     }
   }
@@ -372,7 +372,7 @@
     if (coldMs > 0) {
       this.#rates.markCold(id, now + coldMs);
     }
-    entry?.health.probeAnswered(now);
+    entry?.health.probeSucceeded(now);
   }
 
   /**
@@ -387,9 +387,9 @@
         this.#withPendingRequests.delete(entry);
         continue;
       }
-      const serviceMs = this.#times.meanMs(target.service);
+      const serviceMs = this.#serviceTimes.meanMs(target.service);
       const waitMs = load.waitMs(now, { slots: target.slots, serviceMs });
-      const longMs = this.#times.longMs(target.service);
+      const longMs = this.#serviceTimes.longMs(target.service);
       if (health.detectUnresponsive(now, { waitMs, longMs })) {
         unresponsive.push(target.id);
         this.#unhealthy.add(entry);
@@ -427,17 +427,17 @@
       return;
     }
     const ms = now - writtenAt - this.roundTrips.to(target);
-    this.#times.recordResponseTime(target.service, ms);
+    this.#serviceTimes.recordResponseTime(target.service, ms);
     if (result.load === undefined || result.load.waiting === 0) {
-      this.#times.recordServiceTime(target.service, ms);
+      this.#serviceTimes.recordServiceTime(target.service, ms);
       if (warmth !== "unknown") {
-        this.#kinds.record(requestKind, ms, warmth === "warm");
+        this.#kindTimes.record(requestKind, ms, warmth === "warm");
       }
     }
     if (object === undefined) {
       return;
     }
-    if (this.#warm.recordUse({ object, target: target.id }, now)) {
+    if (this.#warmObjects.recordUse({ object, target: target.id }, now)) {
       this.#options.warmed?.({ object, target: target.hash });
     }
   }
@@ -521,7 +521,7 @@
     }
     const costParams = {
       weights: this.#weights,
-      savedMs: this.#kinds.savedMs(request.kind),
+      savedMs: this.#kindTimes.savedMs(request.kind),
     };
     const cheapest = this.#cheapest(
       [
@@ -562,7 +562,7 @@
     const object = request.object!;
     const excluded = new Set(initial);
     const warm: Entry[] = [];
-    for (const id of this.#warm.targetsOf(object, now)) {
+    for (const id of this.#warmObjects.targetsOf(object, now)) {
       const entry = this.#index.get(id);
       const isBeyond = entry?.target.service === service &&
         !excluded.has(entry);
@@ -579,7 +579,7 @@
     { service, object, kind }: PlacementRequest,
     now: number,
   ): Choice | undefined {
-    const serviceMs = this.#times.meanMs(service);
+    const serviceMs = this.#serviceTimes.meanMs(service);
     const candidates: Candidate[] = [];
     for (const { entry, position } of positioned) {
       const { target, load, health } = entry;
@@ -593,7 +593,7 @@
           roundTripMs: this.roundTrips.to(target),
           waitMs: load.waitMs(now, { slots: target.slots, serviceMs }),
           isWarm: object !== undefined &&
-            this.#warm.isWarm(object, target.id, now),
+            this.#warmObjects.isWarm(object, target.id, now),
           failureShare: health.failureShare(now),
         },
       });
@@ -601,7 +601,7 @@
     return choose(candidates, {
       from: this.#options.place,
       weights: this.#weights,
-      savedMs: this.#kinds.savedMs(kind),
+      savedMs: this.#kindTimes.savedMs(kind),
     });
   }
 
@@ -617,7 +617,7 @@
     if (object === undefined) {
       return "unknown";
     }
-    if (this.#warm.isWarm(object, target, now)) {
+    if (this.#warmObjects.isWarm(object, target, now)) {
       return "warm";
     }
     return expectedMs > MAX_MEASURED_WAIT_MS ? "unknown" : "unwarmed";
--- a/packages/placement/src/target.ts
+++ b/packages/placement/src/target.ts
@@ -20,7 +20,10 @@
 
 /** A target with its state and the cold rate of its service. */
 export interface SteeredTarget extends PlacedTarget {
-  /** Requests per second that the target tolerates while it is cold. */
+  /**
+   * Requests per second that the target tolerates while it is cold, that is, for a
+   * while after its start.
+   */
   readonly coldPerSecond: number;
   /**
    * The target is shutting down: it completes its requests and must receive no new
--- a/packages/placement/src/target_belief.ts
+++ b/packages/placement/src/target_belief.ts
@@ -74,7 +74,7 @@
   }
 
   /** Removes a pending request whose end says nothing about the target. */
-  dropped(sentAt: number): void {
+  removePending(sentAt: number): void {
     const at = this.#pendingSentAt.indexOf(sentAt);
     if (at >= 0) {
       this.#pendingSentAt.splice(at, 1);
@@ -86,7 +86,7 @@
    * refused or failed it.
    */
   responded(sentAt: number, { now, failed }: { now: number; failed: boolean }) {
-    this.dropped(sentAt);
+    this.removePending(sentAt);
     this.#lastResponseAt = now;
     this.#recordOutcome(failed ? 1 : 0, now);
     if (this.#state === "unresponsive") {
@@ -96,12 +96,12 @@
 
   /** Records that a connection broke with a request in progress. */
   connectionBroke(sentAt: number, now: number): void {
-    this.dropped(sentAt);
+    this.removePending(sentAt);
     this.#recordOutcome(1, now);
   }
 
   /** Records that no connection could be established. */
-  unreachable(now: number): void {
+  markUnreachable(now: number): void {
     if (this.#state !== "unreachable") {
       this.#state = "unreachable";
       this.#probeDelayMs = FIRST_PROBE_DELAY_MS;
@@ -164,7 +164,7 @@
   }
 
   /** Records a successful probe. */
-  probeAnswered(now: number): void {
+  probeSucceeded(now: number): void {
     this.#lastResponseAt = now;
     this.#markInUse();
   }
--- a/packages/placement/src/target_belief_test.ts
+++ b/packages/placement/src/target_belief_test.ts
@@ -26,7 +26,7 @@
     expect(health.probeDue(1_600)).toBe(true);
     expect(health.probeDue(1_700)).toBe(false);
     expect(health.probeDue(1_900)).toBe(true);
-    health.probeAnswered(2_000);
+    health.probeSucceeded(2_000);
     expect(health.state).toBe("in-use");
   });
 
@@ -43,7 +43,7 @@
   test("is not assumed without pending requests", () => {
     const health = new TargetHealth();
     health.sent(0);
-    health.dropped(0);
+    health.removePending(0);
     expect(health.detectUnresponsive(60_000, { waitMs: 0, longMs: 400 })).toBe(
       false,
     );
@@ -53,7 +53,7 @@
 describe("a target that refuses connections", () => {
   test("is not used, and is probed soon, then less often", () => {
     const health = new TargetHealth();
-    health.unreachable(0);
+    health.markUnreachable(0);
     expect(health.state).toBe("unreachable");
     const probes = [];
     for (let now = 0; now < 4_000; now += 10) {
--- a/packages/placement/src/target_limits.ts
+++ b/packages/placement/src/target_limits.ts
@@ -35,7 +35,7 @@
 }
 
 /** The last report of a target, and when this VM last sent a request to it. */
-interface Limit {
+interface LimitState {
   perSecond: number | undefined;
   reportedAt: number;
   sentAt: number;
@@ -62,7 +62,7 @@
 
 /** Limits known to this VM. Times are milliseconds of the monotonic clock. */
 export class TargetLimits {
-  readonly #limits = new Map<TargetId, Limit>();
+  readonly #limits = new Map<TargetId, LimitState>();
 
   /** Number of targets with a limit. */
   get size(): number {
--- a/packages/placement/src/target_load.ts
+++ b/packages/placement/src/target_load.ts
@@ -27,31 +27,32 @@
 /** Tracks the load of one target. Times are milliseconds of the monotonic clock. */
 export class TargetLoad {
   /** Pending requests of this VM. */
-  #local = 0;
-  #remote = 0;
+  #localRequests = 0;
+  #remoteRequests = 0;
   #reportedAt = 0;
 
   /** Records that a request was sent. */
   sent(): void {
-    this.#local += 1;
+    this.#localRequests += 1;
   }
 
   /** Records that a request ended, whatever its outcome. */
   ended(): void {
-    this.#local -= 1;
+    this.#localRequests -= 1;
   }
 
   /** Applies a load report received with a response; call it after {@link ended}. */
   reported(report: LoadReport, now: number): void {
     const total = report.running + report.waiting;
-    this.#remote = Math.max(0, total - this.#local);
+    this.#remoteRequests = Math.max(0, total - this.#localRequests);
     this.#reportedAt = now;
   }
 
   /** Estimated number of requests of all VMs at the target. */
   inFlight(now: number): number {
     const age = now - this.#reportedAt;
-    return this.#local + this.#remote * 2 ** (-age / REPORT_HALF_LIFE_MS);
+    return this.#localRequests +
+      this.#remoteRequests * 2 ** (-age / REPORT_HALF_LIFE_MS);
   }
 
   /** Expected wait for a slot in milliseconds. */
--- a/packages/placement/src/target_rates.ts
+++ b/packages/placement/src/target_rates.ts
@@ -17,7 +17,10 @@
 import { type NamedLimit, TargetLimits } from "./target_limits.ts";
 import { type TargetOwner, TargetOwners } from "./target_owners.ts";
 
-/** Rates of all targets. Times are milliseconds of the monotonic clock. */
+/**
+ * Enforces the rates of cold and rate-limited targets. Times are milliseconds of
+ * the monotonic clock.
+ */
 export class TargetRates {
   readonly #vm: VmId;
   readonly #hash: number;
--- a/packages/placement/src/warm_objects.ts
+++ b/packages/placement/src/warm_objects.ts
@@ -2,10 +2,10 @@
  * Tracks which targets are warm for which objects, from this VM's requests and from
  * the other VMs' notifications.
  *
- * Each VM sees only its share of the requests. From these alone it would consider
- * most targets cold that others have warmed. It would then wait for the few that it
- * knows, or warm another one, and responses would be late behind full targets while
- * others with the same objects cached are idle.
+ * Each VM sees only its share of the requests. From these alone it would not know
+ * that other VMs have warmed most of the targets. It would then wait for the few
+ * that it knows, or warm another one, and responses would be late behind full
+ * targets while others with the same objects cached are idle.
  *
  * @module
  */
--- a/packages/placement/src/weighs_first_test.ts
+++ b/packages/placement/src/weighs_first_test.ts
@@ -17,7 +17,7 @@
 /** Time between steps. */
 const STEP_MS = 40;
 /** Response time of a request. */
-const RUN_MS = 300;
+const RESPONSE_MS = 300;
 
 function steering(initialCandidates?: number): Steering {
   const one = new Steering({
@@ -103,7 +103,7 @@
         requestKind: "view",
         warmth: "unknown",
         load: { running: 3, waiting: step.waiting, slots: 3 },
-      }, { now: now + RUN_MS, writtenAt: now });
+      }, { now: now + RESPONSE_MS, writtenAt: now });
       return;
   }
 }
