--- a/packages/placement/src/cold_targets.ts
+++ b/packages/placement/src/cold_targets.ts
@@ -11,7 +11,7 @@
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import { hasUnusedSlice } from "./turns.ts";
+import { hasUnusedSlice } from "./time_slices.ts";
 
 /**
  * Share of the tolerated rate that the owner uses. Two owners at once, as after the
--- a/packages/placement/src/target_limits.ts
+++ b/packages/placement/src/target_limits.ts
@@ -11,7 +11,7 @@
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import { hasUnusedSlice } from "./turns.ts";
+import { hasUnusedSlice } from "./time_slices.ts";
 
 /** A rate limit as a target reported it. */
 export interface NamedLimit {
