--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,17 +1,17 @@
 /**
- * The load and experiment tool: `npm run bench -- EXPERIMENT [options]`.
+ * Entry point of the benchmarks and experiments: `npm run bench -- EXPERIMENT [options]`.
  *
  * @module
  */
 
 import process from "node:process";
 
-/** What every experiment's module offers. */
+/** Interface of each experiment's module. */
 interface Experiment {
   run(args: readonly string[]): Promise<void>;
 }
 
-/** Loaded on demand, so that one experiment's start-up cost is not another's. */
+/** Loaded on demand, so that an experiment does not pay for loading the others. */
 const EXPERIMENTS: Readonly<Record<string, () => Promise<Experiment>>> = {
   decisions: () => import("./decisions/main.ts"),
   fleet: () => import("./fleet/main.ts"),
--- a/packages/bench/src/svg.ts
+++ b/packages/bench/src/svg.ts
@@ -1,12 +1,12 @@
 /**
- * Draws plots without a screen.
+ * Renders Vega plots to SVG without a display.
  *
  * @module
  */
 
 import * as vega from "vega";
 
-/** The plot that `spec` describes, as SVG text. */
+/** Renders the plot that `spec` describes. */
 export async function toSvg(spec: vega.Spec): Promise<string> {
   const view = new vega.View(vega.parse(spec), { renderer: "none" });
   const svg = await view.toSVG();
