--- a/packages/bench/src/fleet/ablations.ts
+++ b/packages/bench/src/fleet/ablations.ts
@@ -1,6 +1,6 @@
 /**
- * Mechanisms of placement that can be left out, to see what each is worth: the
- * emulator is bundled from sources in which one line is another.
+ * Ablations: placement mechanisms that can be disabled, to measure what each one
+ * contributes. The emulator is bundled from sources in which one line is replaced.
  *
  * @module
  */
@@ -13,11 +13,11 @@
   ROOT,
 } from "@poplarthread/bundling";
 
-/** The program that is bundled. */
+/** Entry point of the bundle: the program that runs one scenario. */
 const PLAYER = "packages/bench/src/fleet/player.ts";
 const PLACEMENT = "packages/placement/src";
 
-/** All of them, by name, with the line that leaves them out. */
+/** Name of each mechanism, as on the command line, with the line replacement that disables it. */
 export const ABLATIONS: Readonly<Record<string, LineReplacement>> = {
   "agreed-order": {
     file: `${PLACEMENT}/agreed_order.ts`,
@@ -116,7 +116,7 @@
   },
 };
 
-/** Bundles the emulator without some mechanisms; settles with the bundle's path. */
+/** Bundles the emulator with the named mechanisms disabled; resolves to the bundle's path. */
 export async function bundleWithout(
   names: readonly string[],
 ): Promise<string> {
--- a/packages/bench/src/fleet/callers.ts
+++ b/packages/bench/src/fleet/callers.ts
@@ -1,193 +1,206 @@
 /**
- * Callers of a day: when they come, to which VM, how long they wait, and when
- * they ask again.
+ * Emulated callers: when they send requests and to which VM, how long they wait
+ * for a response, and when they retry.
  *
  * @module
  */
 
 import type { ZoneId } from "@poplarthread/ids";
-import type { EmulatedAnswer, EmulatedRequest } from "./emulated_vm.ts";
-import { WeightedPick } from "./random.ts";
+import type { EmulatedRequest, EmulatedResponse } from "./emulated_vm.ts";
+import { WeightedChoice } from "./random.ts";
 import type { RequestKind, Scenario } from "./scenario.ts";
 import type { Outcome } from "./tally.ts";
 import type { World } from "./world.ts";
 
 type Traffic = Scenario["traffic"][number];
 
-/** Callers honour Retry-After up to this share of the time that they have left. */
-const MOST_PAUSE_SHARE = 1 / 3;
-/** Pause before a caller asks another VM after a failure, in milliseconds: a new connection. */
+/** Callers honour Retry-After up to this share of the time left until their deadline. */
+const MAX_RETRY_AFTER_SHARE = 1 / 3;
+/** Delay before a caller retries at another VM after a failure: the time to connect anew. */
 const RECONNECT_MS = 5;
-/** Pause of a caller that finds no VM, in milliseconds. */
-const NO_VM_MS = 200;
+/** Delay before a caller retries when no VM is up. */
+const NO_VM_RETRY_MS = 200;
 
-/** A request over all its attempts. */
-interface Wish {
+/** A caller's request with all its attempts. */
+interface CallerRequest {
   readonly kind: RequestKind;
   readonly zone: ZoneId;
   readonly object: string | undefined;
   readonly workMs: number;
-  readonly firstAt: number;
-  readonly endsAt: number;
+  readonly startedAt: number;
+  readonly deadlineAt: number;
   retriesLeft: number;
 }
 
-/** See the module's comment. Times are milliseconds. */
+/** Generates the traffic of a scenario. Points in time are milliseconds of virtual time. */
 export class Callers {
   readonly #world: World;
-  readonly #from: number;
-  readonly #until: number;
+  readonly #startsAt: number;
+  readonly #endsAt: number;
   readonly #kinds: ReadonlyMap<string, RequestKind>;
-  readonly #objects: ReadonlyMap<string, WeightedPick<string>>;
-  #count = 0;
+  readonly #objectChoices: ReadonlyMap<string, WeightedChoice<string>>;
+  #attemptCount = 0;
 
   constructor(world: World, span: { from: number; until: number }) {
     this.#world = world;
-    this.#from = span.from;
-    this.#until = span.until;
+    this.#startsAt = span.from;
+    this.#endsAt = span.until;
     const { kinds } = world.scenario;
     this.#kinds = new Map(kinds.map((kind) => [kind.name, kind]));
-    this.#objects = new Map(
+    this.#objectChoices = new Map(
       kinds.filter(({ objects }) => objects > 0)
-        .map((kind) => [kind.name, objectsOf(kind)]),
+        .map((kind) => [kind.name, objectChoice(kind)]),
     );
   }
 
   start(): void {
     for (const traffic of this.#world.scenario.traffic) {
-      const mix = new WeightedPick(Object.entries(traffic.mix));
-      this.#world.loop.after(this.#from, () => this.#next(traffic, mix));
+      const mix = new WeightedChoice(Object.entries(traffic.mix));
+      this.#world.loop.after(
+        this.#startsAt,
+        () => this.#scheduleNext(traffic, mix),
+      );
     }
   }
 
-  /** Comes at the rate of the moment, which changes slowly against the pauses. */
-  #next(traffic: Traffic, mix: WeightedPick<string>): void {
+  /**
+   * Schedules the next request. The interval is drawn for the current rate, which
+   * changes little within one interval.
+   */
+  #scheduleNext(traffic: Traffic, mix: WeightedChoice<string>): void {
     const { loop, random } = this.#world;
-    const pauseMs = random.pauseMs(this.#rateNow(traffic) / 1_000);
-    loop.after(pauseMs, () => {
-      if (loop.now < this.#until) {
-        this.#wish(traffic.zone, mix.pick(random));
-        this.#next(traffic, mix);
+    const intervalMs = random.intervalMs(this.#currentRate(traffic) / 1_000);
+    loop.after(intervalMs, () => {
+      if (loop.now < this.#endsAt) {
+        this.#createRequest(traffic.zone, mix.pick(random));
+        this.#scheduleNext(traffic, mix);
       }
     });
   }
 
-  #rateNow({ perSecond, wave }: Traffic): number {
+  #currentRate({ perSecond, wave }: Traffic): number {
     const { loop, traffic } = this.#world;
     const rate = perSecond * traffic.factor;
     if (wave === undefined) {
       return rate;
     }
-    const turns = (loop.now - this.#from) / 1_000 / wave.periodS + wave.phase;
+    const cycles = (loop.now - this.#startsAt) / 1_000 / wave.periodS +
+      wave.phase;
     return rate *
-      Math.max(0.05, 1 + wave.swing * Math.sin(2 * Math.PI * turns));
+      Math.max(0.05, 1 + wave.swing * Math.sin(2 * Math.PI * cycles));
   }
 
-  #wish(zone: string, kindName: string): void {
+  #createRequest(zone: string, kindName: string): void {
     const { loop, random, traffic } = this.#world;
     const kind = this.#kinds.get(kindName)!;
-    let came = zone;
+    let callerZone = zone;
     for (const { from, to, share } of traffic.shifts) {
-      if (came === from && random.uniform() < share) {
-        came = to;
+      if (callerZone === from && random.uniform() < share) {
+        callerZone = to;
       }
     }
-    this.#ask({
+    this.#sendAttempt({
       kind,
-      zone: came as ZoneId,
+      zone: callerZone as ZoneId,
       object: this.#objectOf(kind, zone as ZoneId),
-      workMs: kind.workMs * random.around(kind.spread),
-      firstAt: loop.now,
-      endsAt: loop.now + kind.deadlineMs,
+      workMs: kind.workMs * random.normalFactor(kind.spread),
+      startedAt: loop.now,
+      deadlineAt: loop.now + kind.deadlineMs,
       retriesLeft: kind.retries,
     });
   }
 
-  /** Callers that come in another zone still ask for the objects of their own. */
+  /** Requests shifted to another zone still ask for the objects of their own zone's region. */
   #objectOf(
     { name, perRegion }: RequestKind,
     zone: ZoneId,
   ): string | undefined {
-    const object = this.#objects.get(name)?.pick(this.#world.random);
+    const object = this.#objectChoices.get(name)?.pick(this.#world.random);
     return object !== undefined && perRegion
       ? `${object}-${this.#world.regionOf(zone)}`
       : object;
   }
 
-  #ask(wish: Wish): void {
+  #sendAttempt(callerRequest: CallerRequest): void {
     const { loop, random } = this.#world;
-    const vm = random.pick(this.#world.vmsNear(wish.zone));
+    const vm = random.pick(this.#world.vmsFor(callerRequest.zone));
     if (vm === undefined) {
-      this.#failed(wish, NO_VM_MS, "failed");
+      this.#retryOrEnd(callerRequest, NO_VM_RETRY_MS, "failed");
       return;
     }
-    const wayMs = this.#world.callerDelayMs(wish.zone, vm);
+    const delayMs = this.#world.callerDelayMs(callerRequest.zone, vm);
     let isOver = false;
-    let leave: (() => void) | undefined;
-    loop.after(Math.max(0, wish.endsAt - loop.now), () => {
+    let disconnect: (() => void) | undefined;
+    loop.after(Math.max(0, callerRequest.deadlineAt - loop.now), () => {
       if (!isOver) {
         isOver = true;
-        loop.after(wayMs, () => leave?.());
-        this.#end(wish, "unanswered");
+        loop.after(delayMs, () => disconnect?.());
+        this.#recordResult(callerRequest, "unanswered");
       }
     });
-    loop.after(wayMs, () => {
-      this.#count += 1;
+    loop.after(delayMs, () => {
+      this.#attemptCount += 1;
       const request: EmulatedRequest = {
-        id: `r${this.#count}`,
-        route: this.#world.routes.get(wish.kind.name)!,
-        service: this.#world.serviceFor(vm, wish.kind),
-        object: wish.object,
-        workMs: wish.workMs,
-        warmGain: wish.kind.warmGain,
-        deadlineMs: wish.endsAt - loop.now + wayMs,
-        answered: (answer) =>
-          loop.after(wayMs, () => {
+        id: `r${this.#attemptCount}`,
+        route: this.#world.routes.get(callerRequest.kind.name)!,
+        service: this.#world.serviceFor(vm, callerRequest.kind),
+        object: callerRequest.object,
+        workMs: callerRequest.workMs,
+        warmGain: callerRequest.kind.warmGain,
+        deadlineMs: callerRequest.deadlineAt - loop.now + delayMs,
+        respond: (response) =>
+          loop.after(delayMs, () => {
             if (!isOver) {
               isOver = true;
-              this.#answered(wish, answer);
+              this.#receive(callerRequest, response);
             }
           }),
       };
-      this.#world.remember(request, wish.kind);
-      leave = vm.request(request);
+      this.#world.recordJob(request, callerRequest.kind);
+      disconnect = vm.receive(request);
     });
   }
 
-  #answered(wish: Wish, answer: EmulatedAnswer | undefined): void {
+  #receive(
+    request: CallerRequest,
+    response: EmulatedResponse | undefined,
+  ): void {
     const { loop } = this.#world;
-    if (answer?.status === 200) {
-      const isInAim = loop.now - wish.firstAt <= wish.kind.aimMs;
-      this.#end(wish, isInAim ? "in-aim" : "late");
-    } else if (answer?.status === 503) {
+    if (response?.status === 200) {
+      const isInTime = loop.now - request.startedAt <= request.kind.aimMs;
+      this.#recordResult(request, isInTime ? "in-aim" : "late");
+    } else if (response?.status === 503) {
       const pauseMs = Math.min(
-        answer.retryAfterMs ?? 0,
-        (wish.endsAt - loop.now) * MOST_PAUSE_SHARE,
+        response.retryAfterMs ?? 0,
+        (request.deadlineAt - loop.now) * MAX_RETRY_AFTER_SHARE,
       );
-      this.#failed(wish, pauseMs, "refused");
-    } else if (wish.kind.repeat === "idempotent") {
-      this.#failed(wish, RECONNECT_MS, "failed");
+      this.#retryOrEnd(request, pauseMs, "refused");
+    } else if (request.kind.repeat === "idempotent") {
+      this.#retryOrEnd(request, RECONNECT_MS, "failed");
     } else {
-      this.#end(wish, "failed");
+      this.#recordResult(request, "failed");
     }
   }
 
-  /** Asks again where it may. */
-  #failed(wish: Wish, pauseMs: number, outcome: Outcome): void {
+  /** Retries if retries and time are left, and ends the request with `outcome` otherwise. */
+  #retryOrEnd(request: CallerRequest, pauseMs: number, outcome: Outcome): void {
     const { loop } = this.#world;
-    if (wish.retriesLeft === 0 || loop.now + pauseMs >= wish.endsAt) {
-      this.#end(wish, outcome);
+    if (request.retriesLeft === 0 || loop.now + pauseMs >= request.deadlineAt) {
+      this.#recordResult(request, outcome);
       return;
     }
-    wish.retriesLeft -= 1;
-    loop.after(pauseMs, () => this.#ask(wish));
+    request.retriesLeft -= 1;
+    loop.after(pauseMs, () => this.#sendAttempt(request));
   }
 
-  #end({ kind, zone, firstAt }: Wish, outcome: Outcome): void {
-    this.#world.served.push({
+  #recordResult(
+    { kind, zone, startedAt }: CallerRequest,
+    outcome: Outcome,
+  ): void {
+    this.#world.results.push({
       kind: kind.name,
       zone,
-      at: firstAt - this.#from,
+      at: startedAt - this.#startsAt,
       owed: kind.worth,
       earned: outcome === "in-aim"
         ? kind.worth
@@ -199,9 +212,11 @@
   }
 }
 
-/** Objects of a kind, the first ones asked for most. */
-function objectsOf({ name, objects, skew }: RequestKind): WeightedPick<string> {
-  return new WeightedPick(
+/** Objects of a kind of request, with a Zipf distribution: the first ones are the most popular. */
+function objectChoice(
+  { name, objects, skew }: RequestKind,
+): WeightedChoice<string> {
+  return new WeightedChoice(
     Array.from({ length: objects }, (_, rank) =>
       [
         `${name}-${rank}`,
--- a/packages/bench/src/fleet/emulated_connections.ts
+++ b/packages/bench/src/fleet/emulated_connections.ts
@@ -13,9 +13,9 @@
 } from "@poplarthread/daemon/emulation";
 import type { Steering } from "@poplarthread/placement";
 import type { EventLoop } from "../decisions/event_loop.ts";
-import type { EmulatedTarget, Job, JobEnd } from "./emulated_target.ts";
+import type { EmulatedTarget, Job, JobResult } from "./emulated_target.ts";
 
-/** What a target is asked to do, beside what the wire says. */
+/** The work that a request causes at a target; not part of the HTTP request. */
 export interface EmulatedWork {
   readonly id: string;
   readonly object: string | undefined;
@@ -23,23 +23,23 @@
   readonly warmGain: number;
 }
 
-/** What connections work with. */
+/** What the connections of a VM depend on. */
 export interface EmulatedConnectionsOptions {
   readonly loop: EventLoop;
   readonly steering: Steering;
   target(id: TargetId): EmulatedTarget;
-  /** One-way delay to a target. */
+  /** One-way network delay to a target. */
   delayMs(target: EmulatedTarget): number;
   readonly newConnectionMs: number;
-  /** Told of each attempt that was written. */
-  attempted(target: EmulatedTarget): void;
+  /** Called for each attempt that was sent. */
+  attemptSent(target: EmulatedTarget): void;
 }
 
-/** Connections to emulated targets, kept while they are idle. */
+/** Pool of connections to emulated targets; idle connections are reused. */
 export class EmulatedConnections implements ConnectionSource {
   readonly #options: EmulatedConnectionsOptions;
   readonly #work: ReadonlyMap<string, EmulatedWork>;
-  /** Idle connections, with the target's life that they lead to. */
+  /** Idle connections by target; those to an earlier instance of it are discarded. */
   readonly #idle = new Map<TargetId, EmulatedConnection[]>();
 
   constructor(
@@ -53,21 +53,25 @@
   take({ id }: { id: TargetId }): EmulatedConnection {
     const target = this.#options.target(id);
     const idle = this.#idle.get(id) ?? [];
-    for (let one = idle.pop(); one !== undefined; one = idle.pop()) {
-      if (one.life === target.life && target.isUp) {
-        return one;
+    for (
+      let connection = idle.pop();
+      connection !== undefined;
+      connection = idle.pop()
+    ) {
+      if (connection.instance === target.instance && target.isUp) {
+        return connection;
       }
     }
     return new EmulatedConnection(target, this.#options, this.#work);
   }
 
   giveBack(connection: TargetConnection): void {
-    const own = connection as EmulatedConnection;
-    const idle = this.#idle.get(own.target);
+    const emulated = connection as EmulatedConnection;
+    const idle = this.#idle.get(emulated.target);
     if (idle === undefined) {
-      this.#idle.set(own.target, [own]);
+      this.#idle.set(emulated.target, [emulated]);
     } else {
-      idle.push(own);
+      idle.push(emulated);
     }
   }
 
@@ -83,24 +87,25 @@
 /** One connection to an emulated target; serves one request at a time. */
 class EmulatedConnection implements TargetConnection {
   readonly target: TargetId;
-  readonly life: number;
-  readonly #to: EmulatedTarget;
+  /** The instance of the target that it is connected to. */
+  readonly instance: number;
+  readonly #target: EmulatedTarget;
   readonly #options: EmulatedConnectionsOptions;
   readonly #work: ReadonlyMap<string, EmulatedWork>;
   #isOpen = false;
-  #isCut = false;
+  #isClosed = false;
   #job: Job | undefined;
 
   constructor(
-    to: EmulatedTarget,
+    target: EmulatedTarget,
     options: EmulatedConnectionsOptions,
     work: ReadonlyMap<string, EmulatedWork>,
   ) {
-    this.#to = to;
+    this.#target = target;
     this.#options = options;
     this.#work = work;
-    this.target = to.placed.id;
-    this.life = to.life;
+    this.target = target.placed.id;
+    this.instance = target.instance;
   }
 
   dispatch(
@@ -113,18 +118,18 @@
       loop.after(0, () => this.#send(request, handler));
       return;
     }
-    const connectMs = 2 * this.#wayMs + newConnectionMs;
+    const connectMs = 2 * this.#delayMs + newConnectionMs;
     loop.after(connectMs, () => {
-      if (this.#isCut) {
+      if (this.#isClosed) {
         return;
       }
-      if (!this.#to.isUp) {
+      if (!this.#target.isUp) {
         handler.onError!(new Error("connection refused"));
         return;
       }
       this.#isOpen = true;
       this.#options.steering.roundTrips
-        .measured(this.#to.placed.zone, connectMs);
+        .measured(this.#target.placed.zone, connectMs);
       this.#send(request, handler);
     });
   }
@@ -134,80 +139,80 @@
   }
 
   destroy(): void {
-    if (this.#isCut) {
+    if (this.#isClosed) {
       return;
     }
-    this.#isCut = true;
+    this.#isClosed = true;
     const job = this.#job;
     if (job !== undefined) {
-      this.#options.loop.after(this.#wayMs, () => this.#to.cancel(job));
+      this.#options.loop.after(this.#delayMs, () => this.#target.cancel(job));
     }
   }
 
-  get #wayMs(): number {
-    return this.#options.delayMs(this.#to);
+  get #delayMs(): number {
+    return this.#options.delayMs(this.#target);
   }
 
   #send(request: EmulatedWork, handler: Dispatcher.DispatchHandler): void {
-    if (this.#isCut) {
+    if (this.#isClosed) {
       return;
     }
     try {
-      handler.onConnect!(() => this.#isCut = true);
+      handler.onConnect!(() => this.#isClosed = true);
     } catch (err) {
       handler.onError!(err as Error);
       return;
     }
-    this.#options.attempted(this.#to);
+    this.#options.attemptSent(this.#target);
     const { loop } = this.#options;
     const job: Job = {
       object: request.object,
       workMs: request.workMs,
       warmGain: request.warmGain,
-      done: (end) =>
-        loop.after(this.#wayMs, () => {
+      done: (result) =>
+        loop.after(this.#delayMs, () => {
           this.#job = undefined;
-          this.#answer(end, handler, request.id);
+          this.#respond(result, handler, request.id);
         }),
     };
     this.#job = job;
-    loop.after(this.#wayMs, () => {
-      if (!this.#isCut) {
-        this.#to.take(job);
+    loop.after(this.#delayMs, () => {
+      if (!this.#isClosed) {
+        this.#target.submit(job);
       }
     });
   }
 
-  #answer(
-    end: JobEnd,
+  #respond(
+    result: JobResult,
     handler: Dispatcher.DispatchHandler,
     requestId: string,
   ): void {
-    if (this.#isCut) {
+    if (this.#isClosed) {
       return;
     }
-    if (end.kind === "reset") {
-      this.#isCut = true;
+    if (result.kind === "reset") {
+      this.#isClosed = true;
       handler.onError!(new Error("connection reset"));
       return;
     }
-    const status = end.kind === "refused" ? 503 : end.failed ? 500 : 200;
-    const answer: TargetAnswer = {
+    const status = result.kind === "refused" ? 503 : result.failed ? 500 : 200;
+    const response: TargetAnswer = {
       status,
       lines: [],
       contentLength: 0,
       isChunked: false,
       requestId,
       isStamped: true,
-      notRun: end.kind === "refused",
+      notRun: result.kind === "refused",
       isOtherTarget: false,
       isLeaving: false,
       restMs: 0,
       limitPerSecond: undefined,
-      load: end.load,
+      load: result.load,
     };
-    // The dialect below takes the answer as it is.
-    const raw = [answer] as unknown as Parameters<
+    // The emulated dialect expects the response itself in place of the raw headers.
+    const raw = [response] as unknown as Parameters<
       NonNullable<Dispatcher.DispatchHandler["onHeaders"]>
     >[1];
     handler.onHeaders!(status, raw, () => undefined, "");
--- a/packages/bench/src/fleet/emulated_target.ts
+++ b/packages/bench/src/fleet/emulated_target.ts
@@ -1,6 +1,6 @@
 /**
- * A target as it looks from outside: a few slots, a short queue, objects that it
- * keeps and handles faster, a slow start, and the faults that targets have.
+ * Model of a target: a few slots, a short queue, a cache of objects whose requests
+ * run faster, a cold start, and faults (slow, failing, crashed).
  *
  * @module
  */
@@ -9,20 +9,21 @@
 import type { EventLoop } from "../decisions/event_loop.ts";
 import type { ScenarioService } from "./scenario.ts";
 
-/** How a job ends at its target. */
-export type JobEnd =
+/** How a job ended at its target. */
+export type JobResult =
   | { readonly kind: "answered"; readonly failed: boolean; load: LoadReport }
   | { readonly kind: "refused"; load: LoadReport }
   | { readonly kind: "reset" };
 
 /** One request at a target. */
 export interface Job {
-  /** What a target may keep; undefined where requests are all alike. */
+  /** The object that the target may cache; undefined if the kind of request has no objects. */
   readonly object: string | undefined;
   readonly workMs: number;
+  /** Share of the work that is saved if the object is cached. */
   readonly warmGain: number;
-  /** Called when it ends, unless it was cancelled. */
-  done(end: JobEnd): void;
+  /** Called when the job ends, unless it was cancelled. */
+  done(result: JobResult): void;
 }
 
 interface RunningJob {
@@ -30,41 +31,42 @@
   readonly endsAt: number;
 }
 
-/** What a target needs to know. */
+/** What an emulated target depends on. */
 export interface EmulatedTargetOptions {
   readonly placed: PlacedTarget;
   readonly service: ScenarioService;
   readonly loop: EventLoop;
-  /** Draws whether a request fails, 0 up to 1. */
-  chance(): number;
+  /** A random number from 0 up to 1 (exclusive); decides whether a request fails. */
+  random(): number;
 }
 
-/** See the module's comment. Times are milliseconds. */
+/** An emulated target. Points in time are milliseconds of virtual time. */
 export class EmulatedTarget {
   readonly placed: PlacedTarget;
   readonly service: ScenarioService;
   isUp = true;
   isLeaving = false;
-  /** Its entry is in the platform's list. */
+  /** Whether the platform's list of targets has an entry for it. */
   isListed = true;
-  /** Counts its lives. */
-  life = 1;
+  /** Number of the process instance; rises with each start. */
+  instance = 1;
   coldUntil = 0;
   slowFactor = 1;
-  failShare = 0;
-  /** Requests that it ran, and those of them on objects that it kept. */
-  ran = 0;
-  ranWarm = 0;
-  /** Time that requests waited here for a slot, in all. */
-  waitedMs = 0;
-  /** Seconds in which it got more requests than it bears while cold. */
+  failureShare = 0;
+  /** Requests that were started in a slot. */
+  handled = 0;
+  /** Those of them whose object was cached. */
+  handledWarm = 0;
+  /** Sum of the time that requests waited for a slot. */
+  totalWaitMs = 0;
+  /** Number of times the bound on requests within one second to a cold target was exceeded. */
   coldBreaches = 0;
   readonly #options: EmulatedTargetOptions;
   readonly #running = new Set<RunningJob>();
   #waiting: Job[] = [];
-  readonly #cameAt = new WeakMap<Job, number>();
+  readonly #arrivedAt = new WeakMap<Job, number>();
   /** Least recently used first. */
-  readonly #kept = new Set<string>();
+  readonly #cachedObjects = new Set<string>();
   #coldArrivals: number[] = [];
 
   constructor(options: EmulatedTargetOptions) {
@@ -73,7 +75,7 @@
     this.service = options.service;
   }
 
-  /** The load as it tells it. */
+  /** The load that it reports in its responses. */
   get load(): LoadReport {
     return {
       running: this.#running.size,
@@ -82,17 +84,17 @@
     };
   }
 
-  /** How much longer it is slow after its start. */
+  /** Time left until it is no longer slow after its start. */
   get coldMs(): number {
     return Math.max(0, this.coldUntil - this.#options.loop.now);
   }
 
-  keeps(object: string | undefined): boolean {
-    return object !== undefined && this.#kept.has(object);
+  isCached(object: string | undefined): boolean {
+    return object !== undefined && this.#cachedObjects.has(object);
   }
 
-  /** When a job that comes now would begin to run. */
-  get freeAt(): number {
+  /** When a job submitted now would start to run. */
+  get nextSlotAt(): number {
     const { now } = this.#options.loop;
     const ends = [...this.#running].map(({ endsAt }) => endsAt);
     while (ends.length < this.service.slots) {
@@ -100,25 +102,25 @@
     }
     for (const job of this.#waiting) {
       ends.sort((a, b) => a - b);
-      ends[0]! += this.workMs(job);
+      ends[0]! += this.durationMs(job);
     }
     return Math.min(...ends);
   }
 
-  /** How long a job runs, begun now. */
-  workMs({ object, workMs, warmGain }: Omit<Job, "done">): number {
+  /** How long a job would run if it started now. */
+  durationMs({ object, workMs, warmGain }: Omit<Job, "done">): number {
     const cold = this.coldMs > 0 ? this.service.coldFactor : 1;
-    const warm = this.keeps(object) ? 1 - warmGain : 1;
+    const warm = this.isCached(object) ? 1 - warmGain : 1;
     return workMs * warm * cold * this.slowFactor;
   }
 
-  take(job: Job): void {
+  submit(job: Job): void {
     if (!this.isUp) {
       job.done({ kind: "reset" });
       return;
     }
-    this.#countCold();
-    this.#cameAt.set(job, this.#options.loop.now);
+    this.#checkColdRate();
+    this.#arrivedAt.set(job, this.#options.loop.now);
     if (this.#running.size < this.service.slots) {
       this.#run(job);
     } else if (this.#waiting.length < this.service.queue) {
@@ -128,18 +130,18 @@
     }
   }
 
-  /** The sender has cut the connection of a job. */
+  /** Removes a job whose sender closed the connection. */
   cancel(job: Job): void {
     this.#waiting = this.#waiting.filter((one) => one !== job);
     for (const running of this.#running) {
       if (running.job === job) {
         this.#running.delete(running);
-        this.#next();
+        this.#runNext();
       }
     }
   }
 
-  /** Ends without a word. */
+  /** Stops without notice: all its jobs are reset and the cache is lost. */
   crash(): void {
     this.isUp = false;
     const open = [
@@ -148,60 +150,60 @@
     ];
     this.#running.clear();
     this.#waiting = [];
-    this.#kept.clear();
+    this.#cachedObjects.clear();
     open.forEach((job) => job.done({ kind: "reset" }));
   }
 
-  /** Starts, slow and empty. */
+  /** Starts a new instance: slow at first, with an empty cache. */
   start(): void {
     this.isUp = true;
     this.isListed = true;
     this.isLeaving = false;
-    this.life += 1;
+    this.instance += 1;
     this.coldUntil = this.#options.loop.now + this.service.coldMs;
   }
 
   #run(job: Job): void {
     const { loop } = this.#options;
-    const workMs = this.workMs(job);
-    this.ran += 1;
-    this.ranWarm += this.keeps(job.object) ? 1 : 0;
-    this.waitedMs += loop.now - (this.#cameAt.get(job) ?? loop.now);
+    const workMs = this.durationMs(job);
+    this.handled += 1;
+    this.handledWarm += this.isCached(job.object) ? 1 : 0;
+    this.totalWaitMs += loop.now - (this.#arrivedAt.get(job) ?? loop.now);
     const running = { job, endsAt: loop.now + workMs };
     this.#running.add(running);
     loop.after(workMs, () => {
       if (this.#running.delete(running)) {
-        this.#ended(job);
+        this.#finish(job);
       }
     });
   }
 
-  #ended(job: Job): void {
-    const failed = this.#options.chance() < this.failShare;
+  #finish(job: Job): void {
+    const failed = this.#options.random() < this.failureShare;
     if (job.object !== undefined && !failed) {
-      this.#keep(job.object);
+      this.#cacheObject(job.object);
     }
-    this.#next();
+    this.#runNext();
     job.done({ kind: "answered", failed, load: this.load });
   }
 
-  #next(): void {
+  #runNext(): void {
     const job = this.#waiting.shift();
     if (job !== undefined) {
       this.#run(job);
     }
   }
 
-  #keep(object: string): void {
-    this.#kept.delete(object);
-    this.#kept.add(object);
-    if (this.#kept.size > this.service.keeps) {
-      const [oldest] = this.#kept;
-      this.#kept.delete(oldest!);
+  #cacheObject(object: string): void {
+    this.#cachedObjects.delete(object);
+    this.#cachedObjects.add(object);
+    if (this.#cachedObjects.size > this.service.keeps) {
+      const [oldest] = this.#cachedObjects;
+      this.#cachedObjects.delete(oldest!);
     }
   }
 
-  #countCold(): void {
+  #checkColdRate(): void {
     const { now } = this.#options.loop;
     if (this.coldMs === 0) {
       return;
@@ -209,13 +211,19 @@
     this.#coldArrivals = this.#coldArrivals.filter((at) => now - at < 1_000);
     this.#coldArrivals.push(now);
     const { coldPerSecond } = this.service;
-    if (this.#coldArrivals.length > coldPerSecond * COLD_OVER + COLD_SLACK) {
+    if (
+      this.#coldArrivals.length >
+        coldPerSecond * COLD_OVER_FACTOR + COLD_SLACK_REQUESTS
+    ) {
       this.coldBreaches += 1;
       this.#coldArrivals = [];
     }
   }
 }
 
-/** Bound on requests to a cold target in one second: the users' `cold_over` and `cold_slack`. */
-const COLD_OVER = 1.5;
-const COLD_SLACK = 5;
+/**
+ * Requests to a cold target within one second may reach its cold rate times
+ * `COLD_OVER_FACTOR` plus `COLD_SLACK_REQUESTS`: the users' `cold_over` and `cold_slack`.
+ */
+const COLD_OVER_FACTOR = 1.5;
+const COLD_SLACK_REQUESTS = 5;
--- a/packages/bench/src/fleet/emulated_vm.ts
+++ b/packages/bench/src/fleet/emulated_vm.ts
@@ -1,6 +1,6 @@
 /**
- * One VM in virtual time: the gateway's own request path, with connections that
- * lead to emulated targets.
+ * One VM in virtual time: the request path of the real gateway, with connections
+ * to emulated targets.
  *
  * @module
  */
@@ -35,23 +35,23 @@
 } from "./emulated_connections.ts";
 import type { EmulatedTarget } from "./emulated_target.ts";
 
-/** A caller's request as it comes to a VM. */
+/** A caller's request as a VM receives it. */
 export interface EmulatedRequest extends EmulatedWork {
   readonly route: Route;
   readonly service: ServiceId;
-  /** How long its caller still waits. */
+  /** How much longer its caller waits. */
   readonly deadlineMs: number;
-  /** Its final answer; undefined where the connection closes without one. */
-  answered(answer: EmulatedAnswer | undefined): void;
+  /** Delivers the final response; undefined if the connection closes without one. */
+  respond(response: EmulatedResponse | undefined): void;
 }
 
-/** What a caller gets. */
-export interface EmulatedAnswer {
+/** The part of a response that callers act on. */
+export interface EmulatedResponse {
   readonly status: number;
   readonly retryAfterMs: number | undefined;
 }
 
-/** What a VM works with. */
+/** What an emulated VM depends on. */
 export interface EmulatedVmOptions extends EmulatedConnectionsOptions {
   readonly vm: VmId;
   readonly zone: ZoneId;
@@ -60,7 +60,7 @@
   readonly services: ReadonlyMap<ServiceId, Service>;
 }
 
-/** See the module's comment. */
+/** An emulated VM. */
 export class EmulatedVm {
   readonly vm: VmId;
   readonly zone: ZoneId;
@@ -68,8 +68,8 @@
   readonly path: RequestPath;
   isUp = true;
   readonly #options: EmulatedVmOptions;
-  readonly #open = new Map<GatewayExchange, EmulatedRequest>();
-  /** What an attempt asks its target to do, by the caller's id of the request. */
+  readonly #openRequests = new Map<GatewayExchange, EmulatedRequest>();
+  /** Work of the open requests, by request id. */
   readonly #work = new Map<string, EmulatedRequest>();
 
   constructor(options: EmulatedVmOptions) {
@@ -80,7 +80,7 @@
     this.path = new RequestPath({
       steering: options.steering,
       zones: options.zones,
-      dialect: DIALECT,
+      dialect: EMULATED_DIALECT,
       log: new EventLog(SILENT_LOG),
       connections: new EmulatedConnections(options, this.#work),
       targetChanged: () => undefined,
@@ -92,21 +92,21 @@
       attemptEnded: () => undefined,
     });
     this.path.targets.setServices(options.services);
-    this.#every(BUSY_TICK_MS, (now) => void this.path.tick(now));
-    this.#every(IDLE_TICK_MS, (now) => this.path.idleTick(now));
+    this.#repeat(BUSY_TICK_MS, (now) => void this.path.tick(now));
+    this.#repeat(IDLE_TICK_MS, (now) => this.path.idleTick(now));
   }
 
-  /** Takes the platform's list in. */
-  listed(targets: ReadonlyMap<TargetId, AnnouncedTarget>): void {
+  /** Applies the platform's current list of targets. */
+  setTargets(targets: ReadonlyMap<TargetId, AnnouncedTarget>): void {
     if (this.isUp) {
       this.path.listed(targets, this.#options.loop.now);
     }
   }
 
-  /** Takes a request in; returns how its caller leaves. */
-  request(request: EmulatedRequest): () => void {
+  /** Handles a request; returns a function that closes its caller's connection. */
+  receive(request: EmulatedRequest): () => void {
     if (!this.isUp) {
-      request.answered(undefined);
+      request.respond(undefined);
       return () => undefined;
     }
     this.#work.set(request.id, request);
@@ -133,65 +133,68 @@
       now: this.#options.loop.now,
       endsConnection: () => false,
     });
-    this.#open.set(exchange, request);
+    this.#openRequests.set(exchange, request);
     exchange.start();
     return () => exchange.callerClosed();
   }
 
-  /** Its process ends: all connections are reset, and all that it knew is gone. */
+  /** Ends its process: all connections are reset and all its state is lost. */
   kill(): void {
     this.isUp = false;
-    const open = [...this.#open];
-    this.#open.clear();
+    const open = [...this.#openRequests];
+    this.#openRequests.clear();
     for (const [exchange, request] of open) {
       exchange.callerClosed();
-      request.answered(undefined);
+      request.respond(undefined);
     }
   }
 
   #ended(exchange: GatewayExchange): void {
-    this.#open.delete(exchange);
+    this.#openRequests.delete(exchange);
     this.#work.delete(exchange.request.requestId);
   }
 
   #probe(id: TargetId): void {
     const { loop, target, delayMs } = this.#options;
-    const asked = target(id);
-    loop.after(2 * delayMs(asked), () => {
-      if (this.isUp && asked.isUp) {
-        const { coldMs } = asked;
+    const emulated = target(id);
+    loop.after(2 * delayMs(emulated), () => {
+      if (this.isUp && emulated.isUp) {
+        const { coldMs } = emulated;
         this.path.steering.probeAnswered(id, { now: loop.now, coldMs });
       }
     });
   }
 
-  #every(periodMs: number, work: (now: number) => void): void {
+  #repeat(periodMs: number, run: (now: number) => void): void {
     const { loop } = this.#options;
     loop.after(periodMs, () => {
       if (this.isUp) {
-        work(loop.now);
-        this.#every(periodMs, work);
+        run(loop.now);
+        this.#repeat(periodMs, run);
       }
     });
   }
 }
 
-/** An entry of the platform's list for a target. */
-export function announced(target: EmulatedTarget): AnnouncedTarget {
-  const { placed, isLeaving, life, coldMs } = target;
+/** A target's entry in the platform's list. */
+export function listEntryOf(target: EmulatedTarget): AnnouncedTarget {
+  const { placed, isLeaving, instance, coldMs } = target;
   return {
     id: placed.id,
     service: placed.service,
-    address: `${placed.id}:${life}`,
+    address: `${placed.id}:${instance}`,
     zone: placed.zone,
     slots: placed.slots,
     leaving: isLeaving,
     coldMs,
-    startedAt: life,
+    startedAt: instance,
   };
 }
 
-/** Each request has a path of its own, or it would be taken for another one that crashed targets. */
+/**
+ * Each request has a path of its own: the gateway would otherwise take it for another
+ * request that it suspects of having crashed targets.
+ */
 function requestOf({ id }: EmulatedRequest): IncomingMessage {
   return Object.assign(new EventEmitter(), {
     url: `/${id}`,
@@ -200,24 +203,30 @@
   }) as unknown as IncomingMessage;
 }
 
-/** The attempt's lines name the request, by which its connection finds the work. */
-const DIALECT = {
+/**
+ * Adds no headers to an attempt, so that its last header is the request-id, by which
+ * the emulated connection finds the work. The connection passes each response as the
+ * only element of the raw headers.
+ */
+const EMULATED_DIALECT = {
   attemptLines: () => [],
   readAnswer: (_status: number, raw: readonly unknown[]) =>
     raw[0] as TargetAnswer,
 } as unknown as Dialect;
 
-/** Takes the one answer of an exchange. */
+/** Passes the response of an exchange on to the emulated caller. */
 function responseTo(request: EmulatedRequest): ServerResponse {
   return {
     writeHead: (status: number, lines: readonly string[]) => {
-      const at = lines.indexOf("retry-after");
-      const retryAfterMs = at < 0 ? undefined : Number(lines[at + 1]) * 1_000;
-      request.answered({ status, retryAfterMs });
+      const index = lines.indexOf("retry-after");
+      const retryAfterMs = index < 0
+        ? undefined
+        : Number(lines[index + 1]) * 1_000;
+      request.respond({ status, retryAfterMs });
     },
     write: () => true,
     end: () => undefined,
     once: () => undefined,
-    destroy: () => request.answered(undefined),
+    destroy: () => request.respond(undefined),
   } as unknown as ServerResponse;
 }
--- a/packages/bench/src/fleet/events.ts
+++ b/packages/bench/src/fleet/events.ts
@@ -1,5 +1,5 @@
 /**
- * What goes wrong, or is planned, in a day.
+ * Events of a scenario: faults, load changes and planned operations.
  *
  * @module
  */
@@ -9,51 +9,63 @@
 import type { ScenarioEvent } from "./scenario.ts";
 import type { World } from "./world.ts";
 
-/** A target that leaves serves on for this long, in milliseconds. */
+/** A leaving target keeps serving for this long. */
 const DRAIN_MS = 2_500;
-/** A target that is replaced is back after this long, in milliseconds. */
-const RELEASE_MS = 1_500;
+/** Time from the stop of a target in a release to the start of its new instance. */
+const REPLACEMENT_MS = 1_500;
 
-/** Lets an event begin, and plans its end. */
-export function strike(world: World, event: ScenarioEvent): void {
+/** Starts an event and schedules its end. */
+export function applyEvent(world: World, event: ScenarioEvent): void {
   switch (event.kind) {
     case "burst":
       world.traffic.factor *= event.factor;
-      after(world, event.forS, () => world.traffic.factor /= event.factor);
+      afterSeconds(
+        world,
+        event.forS,
+        () => world.traffic.factor /= event.factor,
+      );
       return;
     case "shift": {
       const { from, to, share } = event;
       const shift = { from, to, share };
       world.traffic.shifts.add(shift);
-      after(world, event.forS, () => world.traffic.shifts.delete(shift));
+      afterSeconds(world, event.forS, () => world.traffic.shifts.delete(shift));
       return;
     }
     case "slow":
-      for (const target of world.random.sample(world.live(), event.share)) {
+      for (
+        const target of world.random.sample(world.liveTargets(), event.share)
+      ) {
         target.slowFactor = event.factor;
-        after(world, event.forS, () => target.slowFactor = 1);
+        afterSeconds(world, event.forS, () => target.slowFactor = 1);
       }
       return;
     case "grey":
-      for (const target of world.random.sample(world.live(), event.share)) {
-        target.failShare = event.fails;
-        after(world, event.forS, () => target.failShare = 0);
+      for (
+        const target of world.random.sample(world.liveTargets(), event.share)
+      ) {
+        target.failureShare = event.fails;
+        afterSeconds(world, event.forS, () => target.failureShare = 0);
       }
       return;
     case "crash":
-      for (const target of world.random.sample(world.live(), event.share)) {
+      for (
+        const target of world.random.sample(world.liveTargets(), event.share)
+      ) {
         crash(world, target, event.forS);
       }
       return;
     case "zone-returns":
-      for (const target of world.live()) {
+      for (const target of world.liveTargets()) {
         if (target.placed.zone === event.zone) {
           crash(world, target, event.forS);
         }
       }
       return;
     case "scale-in":
-      for (const target of world.random.sample(world.live(), event.share)) {
+      for (
+        const target of world.random.sample(world.liveTargets(), event.share)
+      ) {
         drain(world, target);
       }
       return;
@@ -63,15 +75,15 @@
     case "release":
       release(
         world,
-        world.random.sample(world.live(), event.share),
+        world.random.sample(world.liveTargets(), event.share),
         event.gapS,
       );
       return;
     case "evacuate":
-      world.evacuated.add(event.zone as ZoneId);
+      world.evacuatedZones.add(event.zone as ZoneId);
       world.publishEvacuations();
-      after(world, event.forS, () => {
-        world.evacuated.delete(event.zone as ZoneId);
+      afterSeconds(world, event.forS, () => {
+        world.evacuatedZones.delete(event.zone as ZoneId);
         world.publishEvacuations();
       });
       return;
@@ -80,53 +92,60 @@
         const vm of world.random.sample([...world.vms.values()], event.share)
       ) {
         vm.kill();
-        after(world, event.forS, () => world.startVm(vm.vm, vm.zone));
+        afterSeconds(world, event.forS, () => world.startVm(vm.vm, vm.zone));
       }
-      world.meet();
+      world.publishMembers();
       return;
   }
 }
 
-/** A target ends without a word, and is back after `forS`. */
+/**
+ * Crashes a target and restarts it after `forS`, if given. The platform drops the
+ * entry of a target that is still down after `silentEntryS`.
+ */
 function crash(
   world: World,
   target: EmulatedTarget,
   forS: number | undefined,
 ): void {
   target.crash();
-  const { life } = target;
-  after(world, world.scenario.silentEntryS, () => {
-    if (!target.isUp && target.life === life) {
+  const { instance } = target;
+  afterSeconds(world, world.scenario.silentEntryS, () => {
+    if (!target.isUp && target.instance === instance) {
       target.isListed = false;
-      world.publish();
+      world.publishTargets();
     }
   });
   if (forS !== undefined) {
-    after(world, forS, () => {
+    afterSeconds(world, forS, () => {
       target.start();
-      world.publish();
+      world.publishTargets();
     });
   }
 }
 
-/** A target says that it leaves, serves on for a while, and ends. */
-function drain(world: World, target: EmulatedTarget, ended?: () => void): void {
+/** Marks a target as leaving, and stops it after {@link DRAIN_MS}. */
+function drain(
+  world: World,
+  target: EmulatedTarget,
+  stopped?: () => void,
+): void {
   target.isLeaving = true;
-  world.publish();
+  world.publishTargets();
   world.loop.after(DRAIN_MS, () => {
     target.crash();
     target.isListed = false;
-    world.publish();
-    ended?.();
+    world.publishTargets();
+    stopped?.();
   });
 }
 
 function scaleOut(world: World, share: number): void {
-  for (const like of world.random.sample(world.live(), share)) {
-    const target = world.addTarget(like.service, like.placed.zone);
+  for (const template of world.random.sample(world.liveTargets(), share)) {
+    const target = world.addTarget(template.service, template.placed.zone);
     target.start();
   }
-  world.publish();
+  world.publishTargets();
 }
 
 function release(
@@ -135,19 +154,19 @@
   gapS: number,
 ): void {
   targets.forEach((target, index) =>
-    after(
+    afterSeconds(
       world,
       index * gapS,
       () =>
         drain(world, target, () =>
-          world.loop.after(RELEASE_MS, () => {
+          world.loop.after(REPLACEMENT_MS, () => {
             target.start();
-            world.publish();
+            world.publishTargets();
           })),
     )
   );
 }
 
-function after(world: World, seconds: number, run: () => void): void {
+function afterSeconds(world: World, seconds: number, run: () => void): void {
   world.loop.after(seconds * 1_000, run);
 }
--- a/packages/bench/src/fleet/fleet_test.ts
+++ b/packages/bench/src/fleet/fleet_test.ts
@@ -5,14 +5,14 @@
 import { ABLATIONS } from "./ablations.ts";
 import { readScenario, type Scenario } from "./scenario.ts";
 import { figuresOf } from "./tally.ts";
-import { play } from "./world.ts";
+import { runScenario } from "./world.ts";
 
 const SCENARIOS = fileURLToPath(new URL("../../scenarios/", import.meta.url));
-/** So late that it is never heard in a run, in milliseconds. */
+/** Longer than any run, so that an update with this delay never arrives. */
 const NEVER_MS = 1e9;
 
 /** Twelve VMs that each see a twelfth of the requests for 60 objects. */
-function sharedObjects(news: { nearMs: number; farMs: number }): Scenario {
+function sharedObjects(delays: { nearMs: number; farMs: number }): Scenario {
   return readScenario(JSON.stringify({
     name: "shared objects",
     seconds: 14,
@@ -24,8 +24,8 @@
       caller: 1,
       newConnection: 1,
       news: 150,
-      warmNearMs: news.nearMs,
-      warmFarMs: news.farMs,
+      warmNearMs: delays.nearMs,
+      warmFarMs: delays.farMs,
     },
     silentEntryS: 4.5,
     retries: { ratio: 0.2, fixed: 60, windowS: 10 },
@@ -65,33 +65,35 @@
   }));
 }
 
-function inAim(scenario: Scenario): number {
+function meanEarnedShare(scenario: Scenario): number {
   const shares = [1, 2, 3].map((seed) => {
-    const { requests } = play({ scenario, seed, policy: "gateway" });
+    const { requests } = runScenario({ scenario, seed, policy: "gateway" });
     return figuresOf(requests).whole;
   });
   return shares.reduce((sum, share) => sum + share, 0) / shares.length;
 }
 
-test("the same seed gives the same day", () => {
+test("runs with the same seed give the same results", () => {
   const scenario = sharedObjects({ nearMs: 150, farMs: 600 });
   const [first, second] = [1, 2].map(() =>
-    play({ scenario, seed: 5, policy: "gateway" }).requests
+    runScenario({ scenario, seed: 5, policy: "gateway" }).requests
   );
   expect(first).toEqual(second);
 });
 
-// Targets are replaced while twelve VMs share 60 objects. Each VM alone learns from
-// its own requests which targets keep an object; callers whose VM does not know it
-// wait behind full targets, or get a target that does not keep it. Told by each
-// other, VMs served 0.77 of what was owed; by themselves 0.60.
-test("callers get more in time where VMs tell each other what is warm", () => {
-  const told = inAim(sharedObjects({ nearMs: 150, farMs: 600 }));
-  const untold = inAim(sharedObjects({ nearMs: NEVER_MS, farMs: NEVER_MS }));
-  expect(told).toBeGreaterThan(untold);
+// Twelve VMs share 60 objects while targets are being replaced. Without updates from
+// other VMs, a VM knows only from its own requests which targets have an object cached,
+// so it queues at full targets or picks one without the object. The VMs earn 0.77 of the
+// worth owed with warm-target updates, and 0.60 without.
+test("VMs that share warm targets earn more of the worth owed", () => {
+  const shared = meanEarnedShare(sharedObjects({ nearMs: 150, farMs: 600 }));
+  const notShared = meanEarnedShare(
+    sharedObjects({ nearMs: NEVER_MS, farMs: NEVER_MS }),
+  );
+  expect(shared).toBeGreaterThan(notShared);
 });
 
-test("findings in a scenario are told together, with their place", () => {
+test("an invalid scenario is rejected with all of its findings", () => {
   const scenario = { ...sharedObjects({ nearMs: 1, farMs: 1 }) };
   const text = JSON.stringify({
     ...scenario,
@@ -100,13 +102,13 @@
   expect(() => readScenario(text)).toThrow("2 findings");
 });
 
-test.each(readdirSync(SCENARIOS))("%s can be played", (name) => {
+test.each(readdirSync(SCENARIOS))("%s is a valid scenario", (name) => {
   expect(() => readScenario(readFileSync(`${SCENARIOS}${name}`, "utf8"))).not
     .toThrow();
 });
 
 test.each(Object.entries(ABLATIONS))(
-  "the line that leaves out %s stands once",
+  "the line that ablation %s replaces occurs once",
   (_name, ablation) => {
     const source = readFileSync(`${ROOT}${ablation.file}`, "utf8");
     expect(replaceLine(source, ablation)).not.toBe(source);
--- a/packages/bench/src/fleet/main.ts
+++ b/packages/bench/src/fleet/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- fleet`: days of whole deployments in virtual time, with the
- * gateway's own decisions.
+ * `npm run bench -- fleet`: runs scenarios of complete deployments in virtual time,
+ * with the gateway's real placement decisions.
  *
  * @module
  */
@@ -13,37 +13,40 @@
 import { promisify } from "node:util";
 import meow from "meow";
 import { ABLATIONS, bundleWithout } from "./ablations.ts";
-import { lineOf, type Summary, windowLines } from "./summary.ts";
+import { type Summary, summaryLine, windowLines } from "./summary.ts";
 
 const SCENARIOS = fileURLToPath(new URL("../../scenarios/", import.meta.url));
-/** Left out of ablations unless named: a day of it takes a minute. */
-const LARGE = "stones-grown";
+/** Excluded from ablations unless named, since one run of it takes a minute. */
+const SLOW_SCENARIO = "stones-grown";
 
 const HELP = `
   Usage
     npm run bench -- fleet [SCENARIO...] [options]
 
-  A scenario is a JSON file, or the name of one in packages/bench/scenarios; all of
-  those if none is named.
+  SCENARIO is the path of a JSON file, or the name of a scenario in
+  packages/bench/scenarios. Without it, all scenarios of that folder run.
 
   Options
-    --seeds K        how many seeds, from the first on (3)
+    --seeds K        number of consecutive seeds (3)
     --seed N         the first seed (1)
-    --policy NAME    gateway, or oracle: a bound that knows every target's queue
-    --without NAME   leaves a mechanism out; may stand several times
-    --ablation       leaves out one mechanism after the other
-    --processes P    runs at the same time (4)
-    --windows        shares by window of two seconds, too
+    --policy NAME    gateway (the default), or oracle: an upper bound that knows the
+                     queue of every target
+    --without NAME   disables a mechanism; may be repeated
+    --ablation       disables each mechanism in turn, and prints what is lost
+    --processes P    processes that run scenarios at the same time (4)
+    --windows        also prints the share earned in each window of two seconds
 
   Mechanisms: ${Object.keys(ABLATIONS).join(", ")}
 `;
 
-interface Play {
+interface PlayerRun {
+  /** Path of the bundled player. */
   readonly player: string;
+  /** Path of a scenario's file, or the name of a scenario. */
   readonly scenario: string;
 }
 
-/** Runs the experiment. */
+/** Runs the scenarios named on the command line and prints their figures. */
 export async function run(argv: readonly string[]): Promise<void> {
   const cli = meow(HELP, {
     importMeta: import.meta,
@@ -68,76 +71,83 @@
     },
   });
   const { seed, seeds, policy, processes, windows, ablation } = cli.flags;
-  const playAll = (plays: readonly Play[]) =>
-    inTurn(plays, processes, ({ player, scenario }) =>
-      playOne(player, [
-        fileOf(scenario),
-        String(seed),
-        String(seeds),
-        policy,
-      ]));
+  const runAll = (runs: readonly PlayerRun[]) =>
+    mapConcurrently(
+      runs,
+      processes,
+      ({ player, scenario }) =>
+        runPlayer(player, [
+          scenarioPath(scenario),
+          String(seed),
+          String(seeds),
+          policy,
+        ]),
+    );
   if (ablation) {
-    await ablate(cli.input, playAll);
+    await printAblations(cli.input, runAll);
     return;
   }
   const player = await bundleWithout(cli.flags.without);
-  const scenarios = cli.input.length > 0 ? cli.input : ownScenarios();
-  const summaries = await playAll(
+  const scenarios = cli.input.length > 0 ? cli.input : defaultScenarios();
+  const summaries = await runAll(
     scenarios.map((scenario) => ({ player, scenario })),
   );
   for (const summary of summaries) {
-    console.log(lineOf(summary));
+    console.log(summaryLine(summary));
     if (windows) {
       console.log(windowLines(summary));
     }
   }
 }
 
-/** A table: what is lost of the worth of each scenario without each mechanism. */
-async function ablate(
+/** Prints a table of the change in each scenario's worth without each mechanism. */
+async function printAblations(
   named: readonly string[],
-  playAll: (plays: readonly Play[]) => Promise<readonly Summary[]>,
+  runAll: (runs: readonly PlayerRun[]) => Promise<readonly Summary[]>,
 ): Promise<void> {
   const scenarios = named.length > 0
     ? named
-    : ownScenarios().filter((name) => name !== LARGE);
-  const whole = await bundleWithout([]);
-  const base = await playAll(
-    scenarios.map((scenario) => ({ player: whole, scenario })),
+    : defaultScenarios().filter((name) => name !== SLOW_SCENARIO);
+  const unchanged = await bundleWithout([]);
+  const base = await runAll(
+    scenarios.map((scenario) => ({ player: unchanged, scenario })),
   );
   const names = base.map(({ scenario }) => scenario);
   console.log(`| without | ${names.join(" | ")} | mean |`);
   console.log(`| --- |${" ---: |".repeat(names.length + 1)}`);
-  console.log(row("nothing: worth", base.map(({ worth }) => worth)));
+  console.log(tableRow("nothing: worth", base.map(({ worth }) => worth)));
   for (const name of Object.keys(ABLATIONS)) {
     const player = await bundleWithout([name]);
-    const changed = await playAll(
+    const ablated = await runAll(
       scenarios.map((scenario) => ({ player, scenario })),
     );
     console.log(
-      row(name, changed.map(({ worth }, at) => worth - base[at]!.worth)),
+      tableRow(
+        name,
+        ablated.map(({ worth }, index) => worth - base[index]!.worth),
+      ),
     );
   }
 }
 
-function row(name: string, figures: readonly number[]): string {
+function tableRow(name: string, figures: readonly number[]): string {
   const mean = figures.reduce((sum, one) => sum + one, 0) / figures.length;
   const cells = [...figures, mean].map((one) => one.toFixed(3));
   return `| ${name} | ${cells.join(" | ")} |`;
 }
 
-function ownScenarios(): readonly string[] {
+function defaultScenarios(): readonly string[] {
   return readdirSync(SCENARIOS).filter((name) => name.endsWith(".json"))
     .map((name) => basename(name, ".json")).toSorted();
 }
 
-function fileOf(scenario: string): string {
+function scenarioPath(scenario: string): string {
   return scenario.endsWith(".json")
     ? scenario
     : join(SCENARIOS, `${scenario}.json`);
 }
 
-async function playOne(
+async function runPlayer(
   player: string,
   args: readonly string[],
 ): Promise<Summary> {
@@ -148,19 +158,19 @@
   return JSON.parse(stdout) as Summary;
 }
 
-/** Does `work` for all items, `most` at a time; results in the items' order. */
-async function inTurn<T, R>(
+/** Runs `work` on each item, at most `maxConcurrent` at a time; returns results in the items' order. */
+async function mapConcurrently<T, R>(
   items: readonly T[],
-  most: number,
+  maxConcurrent: number,
   work: (item: T) => Promise<R>,
 ): Promise<readonly R[]> {
   const results: R[] = [];
   let next = 0;
   const worker = async () => {
-    for (let at = next++; at < items.length; at = next++) {
-      results[at] = await work(items[at]!);
+    for (let index = next++; index < items.length; index = next++) {
+      results[index] = await work(items[index]!);
     }
   };
-  await Promise.all(Array.from({ length: most }, worker));
+  await Promise.all(Array.from({ length: maxConcurrent }, worker));
   return results;
 }
--- a/packages/bench/src/fleet/oracle.ts
+++ b/packages/bench/src/fleet/oracle.ts
@@ -1,7 +1,7 @@
 /**
- * A bound to compare with: places each request where it would be answered first,
- * knowing every target's queue and what it keeps at this very moment. No VM can
- * know that.
+ * An upper bound to compare the gateway with: sends each request to the target that
+ * would respond first, given the current queue and cached objects of every target.
+ * No real VM can know these.
  *
  * @module
  */
@@ -18,19 +18,19 @@
 import type { EmulatedRequest } from "./emulated_vm.ts";
 import type { RequestKind, Scenario } from "./scenario.ts";
 
-/** What the oracle sees of a request. */
+/** What the oracle can look up for a request. */
 export interface OracleView {
-  /** Targets that may be used for the request. */
+  /** Targets that the request may be sent to. */
   targets(request: PlacementRequest): readonly EmulatedTarget[];
-  /** When a target would answer the request, in milliseconds. */
-  answerAt(target: EmulatedTarget, request: PlacementRequest): number;
+  /** When the target's response would arrive, in milliseconds of virtual time. */
+  responseAt(target: EmulatedTarget, request: PlacementRequest): number;
 }
 
-/** Work as it is on the mean of its kind. */
+/** A job with the mean work of its kind of request. */
 type MeanJob = Pick<Job, "object" | "workMs" | "warmGain">;
 
-/** Which work a request brings, by the hash of its object. */
-export class KnownJobs {
+/** Expected job of a request, by the hash of its object. */
+export class ExpectedJobs {
   readonly #scenario: Scenario;
   readonly #jobs = new Map<number, MeanJob>();
 
@@ -38,8 +38,8 @@
     this.#scenario = scenario;
   }
 
-  /** A request of a kind comes. */
-  remember({ object, route }: EmulatedRequest, kind: RequestKind): void {
+  /** Records the expected job of a request. */
+  record({ object, route }: EmulatedRequest, kind: RequestKind): void {
     if (object !== undefined) {
       const { workMs, warmGain } = kind;
       const hash = hashText(`${route.host}${route.prefix}${object}`);
@@ -47,8 +47,11 @@
     }
   }
 
-  /** The work of a request for an object, or of any request for a service. */
-  of(hash: number | undefined, service: ServiceId): MeanJob {
+  /**
+   * The expected job of a request for an object; if the object is unknown, that of the
+   * service's first kind of request.
+   */
+  jobFor(hash: number | undefined, service: ServiceId): MeanJob {
     const known = hash === undefined ? undefined : this.#jobs.get(hash);
     if (known !== undefined) {
       return known;
@@ -60,10 +63,10 @@
   }
 }
 
-/** Retry-After of a refusal, in milliseconds. */
+/** Retry-After of a refusal. */
 const RETRY_AFTER_MS = 200;
 
-/** See the module's comment. */
+/** Places requests as the module's comment says. */
 export class OracleSteering extends Steering {
   readonly #view: OracleView;
 
@@ -73,17 +76,17 @@
   }
 
   override place(request: PlacementRequest): PlacementDecision {
-    let best: TargetId | undefined;
-    let bestAt = request.answerBy;
+    let earliest: TargetId | undefined;
+    let earliestAt = request.answerBy;
     for (const target of this.#view.targets(request)) {
-      const answerAt = this.#view.answerAt(target, request);
-      if (answerAt < bestAt && !request.tried.has(target.placed.id)) {
-        best = target.placed.id;
-        bestAt = answerAt;
+      const responseAt = this.#view.responseAt(target, request);
+      if (responseAt < earliestAt && !request.tried.has(target.placed.id)) {
+        earliest = target.placed.id;
+        earliestAt = responseAt;
       }
     }
-    return best === undefined
+    return earliest === undefined
       ? { kind: "refuse", reason: "overload", retryAfterMs: RETRY_AFTER_MS }
-      : { kind: "send", target: best, expectedMs: 0, warmth: "unknown" };
+      : { kind: "send", target: earliest, expectedMs: 0, warmth: "unknown" };
   }
 }
--- a/packages/bench/src/fleet/random.ts
+++ b/packages/bench/src/fleet/random.ts
@@ -1,5 +1,5 @@
 /**
- * Random draws of one run: the same seed gives the same run.
+ * Seeded random numbers: runs with the same seed draw the same sequence.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 const STEPS = 2 ** 30;
 
-/** See the module's comment. */
+/** Random numbers of one run. */
 export class Random {
   readonly #generator: RandomGenerator;
 
@@ -18,18 +18,21 @@
     this.#generator = xoroshiro128plus(seed);
   }
 
-  /** 0 up to 1. */
+  /** From 0 up to 1 (exclusive). */
   uniform(): number {
     return uniformInt(this.#generator, 0, STEPS - 1) / STEPS;
   }
 
-  /** Time to the next of events that come `perMs` times a millisecond. */
-  pauseMs(perMs: number): number {
+  /** Time to the next event of a Poisson process with a rate of `perMs` events a millisecond. */
+  intervalMs(perMs: number): number {
     return -Math.log(1 - this.uniform()) / perMs;
   }
 
-  /** About normal, with mean 1 and a relative deviation of `spread`, within 0.3 and 3. */
-  around(spread: number): number {
+  /**
+   * A factor from an approximately normal distribution with mean 1 and standard deviation
+   * `spread`, clamped to 0.3 to 3.
+   */
+  normalFactor(spread: number): number {
     let sum = -6;
     for (let draw = 0; draw < 12; draw++) {
       sum += this.uniform();
@@ -37,26 +40,29 @@
     return Math.min(3, Math.max(0.3, 1 + spread * sum));
   }
 
-  /** One of `items`; undefined where there is none. */
+  /** One of `items`; undefined if there are none. */
   pick<T>(items: readonly T[]): T | undefined {
     return items[Math.floor(this.uniform() * items.length)];
   }
 
-  /** `share` of `items`, at least one where there is one. */
+  /** A random `share` of `items`: at least one, unless `items` is empty. */
   sample<T>(items: readonly T[], share: number): readonly T[] {
-    const left = [...items];
-    const most = Math.min(left.length, Math.max(1, share * left.length));
+    const remaining = [...items];
+    const wanted = Math.min(
+      remaining.length,
+      Math.max(1, share * remaining.length),
+    );
     const chosen: T[] = [];
-    while (chosen.length < Math.round(most)) {
-      const index = Math.floor(this.uniform() * left.length);
-      chosen.push(...left.splice(index, 1));
+    while (chosen.length < Math.round(wanted)) {
+      const index = Math.floor(this.uniform() * remaining.length);
+      chosen.push(...remaining.splice(index, 1));
     }
     return chosen;
   }
 }
 
-/** Picks names in the proportion of their weights. */
-export class WeightedPick<T> {
+/** Picks items with probabilities proportional to their weights. */
+export class WeightedChoice<T> {
   readonly #items: readonly T[];
   readonly #sums: readonly number[];
 
@@ -74,8 +80,8 @@
   }
 
   pick(random: Random): T {
-    const drawn = random.uniform() * this.#sums.at(-1)!;
-    const index = this.#sums.findIndex((sum) => drawn < sum);
+    const threshold = random.uniform() * this.#sums.at(-1)!;
+    const index = this.#sums.findIndex((sum) => threshold < sum);
     return this.#items[Math.max(0, index)]!;
   }
 }
--- a/packages/bench/src/fleet/scenario.ts
+++ b/packages/bench/src/fleet/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * Deployments and days for the fleet emulator, as JSON documents that are
- * checked before they are played.
+ * Format of the fleet emulator's scenarios: JSON documents that describe a deployment,
+ * its traffic and its events, and are validated before they run.
  *
  * @module
  */
@@ -12,63 +12,68 @@
 const count = z.number().int().nonnegative();
 const share = z.number().min(0).max(1);
 const byZone = z.record(z.string(), count);
-/** Seconds from the start of traffic. */
+/** Time from the start of the traffic, in seconds. */
 const at = z.number().nonnegative();
 
-/** How requests of a zone vary: a wave, in shares of the mean rate and in seconds. */
+/**
+ * Sinusoidal variation of a zone's request rate: `swing` is the amplitude as a share of the
+ * mean rate, `phase` a share of the period.
+ */
 const wave = z.strictObject({ swing: share, periodS: positive, phase: share });
 
 const kind = z.strictObject({
   name: z.string(),
-  /** Services and their weights; more than one is a split. */
+  /** Services and their weights; with more than one, requests are split between them. */
   services: z.record(z.string(), positive),
   repeat: z.enum(["idempotent", "at-most-once"]),
   aimMs: positive,
   deadlineMs: positive,
   timeoutMs: positive,
-  /** What an answer is worth in time, and late. */
+  /** Worth of a response that meets the latency objective `aimMs`, and of a later one. */
   worth: positive,
   lateWorth: z.number().nonnegative(),
-  /** Rank of its route; 0 goes first. */
+  /** Priority of its route; 0 is the highest. */
   priority: count,
-  /** Times a caller asks again. */
+  /** Maximum number of retries by the caller. */
   retries: count,
-  /** Work on a target that does not keep the object, and its relative spread. */
+  /** Mean work on a target without the object in its cache, and its relative standard deviation. */
   workMs: positive,
   spread: share,
-  /** Objects that are asked for, and how unevenly (0: all alike). */
+  /** Number of distinct objects that are requested; 0 if requests have none. */
   objects: count,
-  /** Each region asks for objects of its own. */
+  /** Whether each region has objects of its own. */
   perRegion: z.boolean().default(false),
+  /** Zipf exponent of the objects' popularity; 0 makes all equally popular. */
   skew: z.number().nonnegative(),
-  /** Share of the work that is saved on a target that keeps the object. */
+  /** Share of the work that is saved on a target that has the object cached. */
   warmGain: share,
 });
 
 const service = z.strictObject({
   name: z.string(),
-  /** Targets by zone. */
+  /** Number of targets by zone. */
   targets: byZone,
   slots: positive,
-  /** Requests that wait at a target before it refuses. */
+  /** Maximum number of requests that wait at a target; it refuses any beyond that. */
   queue: count,
-  /** Objects that a target keeps. */
+  /** Capacity of a target's cache, in objects. */
   keeps: positive,
-  /** Time for which a target is slow after its start, and how slow. */
+  /** Time for which a target is slow after its start, and the factor on its work meanwhile. */
   coldMs: z.number().nonnegative(),
   coldFactor: positive,
+  /** Requests a second that a target can take while it is slow. */
   coldPerSecond: positive,
 });
 
 const event = z.discriminatedUnion("kind", [
-  /** Many callers come at once: the rate, times `factor`. */
+  /** The request rate of all zones is multiplied by `factor`. */
   z.strictObject({
     kind: z.literal("burst"),
     at,
     forS: positive,
     factor: positive,
   }),
-  /** A share of a zone's requests comes in another zone. */
+  /** A share of the requests of zone `from` arrives in zone `to`. */
   z.strictObject({
     kind: z.literal("shift"),
     at,
@@ -77,7 +82,7 @@
     from: z.string(),
     to: z.string(),
   }),
-  /** Targets work so many times as long. */
+  /** A share of the targets takes `factor` times as long for its work. */
   z.strictObject({
     kind: z.literal("slow"),
     at,
@@ -85,7 +90,7 @@
     share,
     factor: positive,
   }),
-  /** Targets fail a part of their requests. */
+  /** A share of the targets fails the share `fails` of its requests. */
   z.strictObject({
     kind: z.literal("grey"),
     at,
@@ -93,39 +98,39 @@
     share,
     fails: share,
   }),
-  /** Targets crash; they are back, empty, after `forS`, or never if it is left out. */
+  /** A share of the targets crashes and restarts with empty caches after `forS`; never if omitted. */
   z.strictObject({
     kind: z.literal("crash"),
     at,
     share,
     forS: positive.optional(),
   }),
-  /** Targets of a zone go down together and come back empty. */
+  /** All targets of a zone crash together and restart with empty caches after `forS`. */
   z.strictObject({
     kind: z.literal("zone-returns"),
     at,
     forS: positive,
     zone: z.string(),
   }),
-  /** Targets announce that they leave. */
+  /** A share of the targets announces that it is leaving, and stops. */
   z.strictObject({ kind: z.literal("scale-in"), at, share }),
-  /** Empty targets join. */
+  /** New targets with empty caches join, as many as this share of the present ones. */
   z.strictObject({ kind: z.literal("scale-out"), at, share }),
-  /** Targets are replaced one after the other. */
+  /** A share of the targets is replaced, one every `gapS`. */
   z.strictObject({
     kind: z.literal("release"),
     at,
     share,
     gapS: positive,
   }),
-  /** Nothing more is sent to a zone's targets. */
+  /** No more requests are sent to the targets of a zone. */
   z.strictObject({
     kind: z.literal("evacuate"),
     at,
     forS: positive,
     zone: z.string(),
   }),
-  /** VMs lose all they know and are back after `forS`. */
+  /** A share of the VMs stops, and restarts without state after `forS`. */
   z.strictObject({
     kind: z.literal("restart-vms"),
     at,
@@ -136,26 +141,28 @@
 
 const schema = z.strictObject({
   name: z.string(),
-  /** Seconds of traffic. */
+  /** Duration of the traffic. */
   seconds: positive,
   zones: z.array(
     z.strictObject({ name: z.string(), region: z.string(), vms: count }),
   ).min(1),
-  /** One-way delays, in milliseconds. */
+  /** One-way delays, unless said otherwise. */
   delaysMs: z.strictObject({
     inZone: z.number().nonnegative(),
     crossZone: z.number().nonnegative(),
     crossRegion: z.number().nonnegative(),
     caller: z.number().nonnegative(),
+    /** Time to set up a connection to a target, beyond one round trip. */
     newConnection: z.number().nonnegative(),
-    /** From a change in the platform's list to the VMs that follow it. */
+    /** From a change of the platform's list until the VMs receive it. */
     news: z.number().nonnegative(),
-    /** From a VM's use of a target to the word of it at the other VMs of its zone, and of its region. */
+    /** From a VM's use of a target until the other VMs of its zone, and of its region, know it is warm. */
     warmNearMs: z.number().nonnegative().default(150),
     warmFarMs: z.number().nonnegative().default(600),
   }),
-  /** Time until the platform drops the entry of a target that is silent. */
+  /** Time until the platform removes the entry of an unresponsive target. */
   silentEntryS: positive,
+  /** Bound on the retries of all VMs to a service: `fixed` plus `ratio` of the requests, in any window. */
   retries: z.strictObject({
     ratio: z.number().nonnegative(),
     fixed: z.number().nonnegative(),
@@ -166,23 +173,23 @@
   traffic: z.array(z.strictObject({
     zone: z.string(),
     perSecond: positive,
-    /** Kinds in the proportion of their weights. */
+    /** Kinds of request and their weights. */
     mix: z.record(z.string(), positive),
     wave: wave.optional(),
   })).min(1),
   events: z.array(event),
 });
 
-/** One day of one deployment. */
+/** A deployment with its traffic and events. */
 export type Scenario = z.output<typeof schema>;
 /** A kind of request. */
 export type RequestKind = Scenario["kinds"][number];
 /** A service that targets offer. */
 export type ScenarioService = Scenario["services"][number];
-/** What happens in a day. */
+/** A fault, load change or planned operation of a scenario. */
 export type ScenarioEvent = Scenario["events"][number];
 
-/** Reads a scenario; throws a FindingsError with all that is wrong in it. */
+/** Parses and validates a scenario; throws a FindingsError that lists all that is invalid. */
 export function readScenario(text: string): Scenario {
   return readDocument(text, { subject: "the scenario", schema, crossCheck });
 }
@@ -192,34 +199,41 @@
   const services = new Set(scenario.services.map(({ name }) => name));
   const kinds = new Set(scenario.kinds.map(({ name }) => name));
   const complaints: Complaint[] = [];
-  function known(name: string, names: Set<string>, path: Complaint["path"]) {
+  function checkDefined(
+    name: string,
+    names: Set<string>,
+    path: Complaint["path"],
+  ) {
     if (!names.has(name)) {
-      complaints.push({ path, message: `unknown name ${name}` });
+      complaints.push({
+        path,
+        message: `${name} is not defined in this scenario`,
+      });
     }
   }
-  scenario.services.forEach((one, at) => {
+  scenario.services.forEach((one, index) => {
     for (const zone of Object.keys(one.targets)) {
-      known(zone, zones, ["services", at, "targets", zone]);
+      checkDefined(zone, zones, ["services", index, "targets", zone]);
     }
   });
-  scenario.kinds.forEach((one, at) => {
+  scenario.kinds.forEach((one, index) => {
     for (const name of Object.keys(one.services)) {
-      known(name, services, ["kinds", at, "services", name]);
+      checkDefined(name, services, ["kinds", index, "services", name]);
     }
   });
-  scenario.traffic.forEach((one, at) => {
-    known(one.zone, zones, ["traffic", at, "zone"]);
+  scenario.traffic.forEach((one, index) => {
+    checkDefined(one.zone, zones, ["traffic", index, "zone"]);
     for (const name of Object.keys(one.mix)) {
-      known(name, kinds, ["traffic", at, "mix", name]);
+      checkDefined(name, kinds, ["traffic", index, "mix", name]);
     }
   });
-  scenario.events.forEach((one, at) => {
+  scenario.events.forEach((one, index) => {
     if ("zone" in one) {
-      known(one.zone, zones, ["events", at, "zone"]);
+      checkDefined(one.zone, zones, ["events", index, "zone"]);
     }
     if ("from" in one) {
-      known(one.from, zones, ["events", at, "from"]);
-      known(one.to, zones, ["events", at, "to"]);
+      checkDefined(one.from, zones, ["events", index, "from"]);
+      checkDefined(one.to, zones, ["events", index, "to"]);
     }
   });
   return complaints;
--- a/packages/bench/src/fleet/summary.ts
+++ b/packages/bench/src/fleet/summary.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of several runs of one scenario, as they are printed.
+ * Summary of several runs of one scenario, and its printed form.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import { type Figures, figuresOf, meanOf, windowShares } from "./tally.ts";
 import type { RunResult } from "./world.ts";
 
-/** Figures of a scenario, over all its runs. */
+/** Figures of a scenario over all of its runs. */
 export interface Summary extends Figures {
   readonly scenario: string;
-  /** Share of what targets ran that was on objects that they kept. */
+  /** Share of the requests run by targets whose object was cached there. */
   readonly warmShare: number;
-  /** Mean wait for a slot at a target, in milliseconds. */
+  /** Mean wait for a slot at a target. */
   readonly targetWaitMs: number;
   readonly attemptsPerRequest: number;
-  /** Seconds in which a cold target got more than it bears. */
+  /** Number of times a cold target got more requests within one second than it can take. */
   readonly coldBreaches: number;
-  /** Shares that were earned by window, for each run. */
+  /** Share of the worth owed that was earned in each window, for each run. */
   readonly windows: readonly (readonly number[])[];
 }
 
-/** The figures of `runs`. */
+/** Summarises `runs`. */
 export function summaryOf(
   scenario: string,
   runs: readonly RunResult[],
@@ -42,8 +42,8 @@
   };
 }
 
-/** One line for people. */
-export function lineOf(one: Summary): string {
+/** The summary as one line of text. */
+export function summaryLine(one: Summary): string {
   const kinds = Object.entries(one.byKind)
     .map(([kind, share]) => `${kind} ${share.toFixed(3)}`).join(", ");
   return `${one.scenario.padEnd(14)} worth ${one.worth.toFixed(3)} ` +
@@ -57,7 +57,7 @@
     (one.coldBreaches > 0 ? `, ${one.coldBreaches} cold breaches` : "");
 }
 
-/** The shares by window, a line for each run. */
+/** The shares earned by window, one line for each run. */
 export function windowLines({ windows }: Summary): string {
   return windows.map((shares) =>
     shares.map((share) => share.toFixed(2)).join(" ")
--- a/packages/bench/src/fleet/tally.ts
+++ b/packages/bench/src/fleet/tally.ts
@@ -1,16 +1,18 @@
 /**
- * What callers got in one run.
+ * Results of callers' requests, and the figures computed from them.
  *
  * @module
  */
 
-/** One caller's request, over all its attempts. */
-export interface Served {
+/** Result of one caller's request with all its attempts. */
+export interface RequestResult {
   readonly kind: string;
   readonly zone: string;
-  /** When it was first sent, in milliseconds. */
+  /** When it was first sent, in milliseconds from the start of the traffic. */
   readonly at: number;
+  /** Worth of a response that meets the latency objective. */
   readonly owed: number;
+  /** Worth of the response that the caller got. */
   readonly earned: number;
   readonly outcome: Outcome;
 }
@@ -20,28 +22,32 @@
 
 /** Figures of a run, or the means of several. */
 export interface Figures {
-  /** Shares of what was owed that was earned. */
+  /** Share of the worth owed that was earned, over all requests. */
   readonly whole: number;
-  /** The mean of the two worst windows of {@link WINDOW_MS}. */
+  /** Mean share earned in the two worst windows of {@link WINDOW_MS}. */
   readonly worstWindows: number;
+  /** Share earned in the worst zone. */
   readonly worstZone: number;
+  /** Share earned for the worst kind of request. */
   readonly worstKind: number;
-  /** Share of the requests that got an answer of a target. */
+  /** Share of the requests that got a response from a target, in time or late. */
   readonly served: number;
-  /** Weighs the figures above as the users do. */
+  /** Sum of the figures above, with the users' weights. */
   readonly worth: number;
+  /** `late`, `refused`, `failed`: shares of the requests; `failed` includes unanswered ones. */
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
+  /** Share earned, by kind of request and by zone. */
   readonly byKind: Readonly<Record<string, number>>;
   readonly byZone: Readonly<Record<string, number>>;
 }
 
-/** Length of a window, in milliseconds. */
+/** Length of a window. */
 export const WINDOW_MS = 2_000;
-/** Windows with less than this share of the usual worth say nothing. */
-const LEAST_WINDOW = 0.25;
-/** How the users weigh the figures. */
+/** Windows with less than this share of the mean worth owed are ignored: too few requests to judge. */
+const MIN_WINDOW_SHARE = 0.25;
+/** The users' weights of the figures. */
 const WEIGHTS = {
   whole: 0.336,
   worstZone: 0.3,
@@ -50,13 +56,13 @@
   worstKind: 0.084,
 };
 
-/** Figures of one run's requests. */
-export function figuresOf(requests: readonly Served[]): Figures {
+/** Figures of one run. */
+export function figuresOf(requests: readonly RequestResult[]): Figures {
   const byKind = sharesBy(requests, ({ kind }) => kind);
   const byZone = sharesBy(requests, ({ zone }) => zone);
   const shareOf = (outcome: Outcome) =>
     requests.filter((one) => one.outcome === outcome).length / requests.length;
-  const parts = {
+  const scores = {
     whole: earnedShare(requests),
     worstWindows: worstWindows(requests),
     worstZone: Math.min(...Object.values(byZone)),
@@ -64,10 +70,10 @@
     served: shareOf("in-aim") + shareOf("late"),
   };
   return {
-    ...parts,
-    worth: parts.whole * WEIGHTS.whole + parts.worstZone * WEIGHTS.worstZone +
-      parts.worstWindows * WEIGHTS.worstWindows +
-      parts.served * WEIGHTS.served + parts.worstKind * WEIGHTS.worstKind,
+    ...scores,
+    worth: scores.whole * WEIGHTS.whole + scores.worstZone * WEIGHTS.worstZone +
+      scores.worstWindows * WEIGHTS.worstWindows +
+      scores.served * WEIGHTS.served + scores.worstKind * WEIGHTS.worstKind,
     late: shareOf("late"),
     refused: shareOf("refused"),
     failed: shareOf("failed") + shareOf("unanswered"),
@@ -103,11 +109,11 @@
   };
 }
 
-/** Share that was earned in each window, in their order. */
+/** Share earned in each window, in order of time. */
 export function windowShares(
-  requests: readonly Served[],
+  requests: readonly RequestResult[],
 ): readonly { at: number; share: number; owed: number }[] {
-  const windows = new Map<number, Served[]>();
+  const windows = new Map<number, RequestResult[]>();
   for (const one of requests) {
     const window = Math.floor(one.at / WINDOW_MS);
     windows.set(window, [...(windows.get(window) ?? []), one]);
@@ -119,19 +125,19 @@
   }));
 }
 
-function worstWindows(requests: readonly Served[]): number {
+function worstWindows(requests: readonly RequestResult[]): number {
   const windows = windowShares(requests);
-  const usual = sum(windows, ({ owed }) => owed) / windows.length;
+  const meanOwed = sum(windows, ({ owed }) => owed) / windows.length;
   const [worst, second] = windows
-    .filter(({ owed }) => owed >= usual * LEAST_WINDOW)
+    .filter(({ owed }) => owed >= meanOwed * MIN_WINDOW_SHARE)
     .map(({ share }) => share)
     .toSorted((a, b) => a - b);
   return (worst! + (second ?? worst!)) / 2;
 }
 
 function sharesBy(
-  requests: readonly Served[],
-  keyOf: (one: Served) => string,
+  requests: readonly RequestResult[],
+  keyOf: (one: RequestResult) => string,
 ): Readonly<Record<string, number>> {
   const groups = groupBy(requests, keyOf);
   return Object.fromEntries(
@@ -155,7 +161,7 @@
   return groups;
 }
 
-function earnedShare(requests: readonly Served[]): number {
+function earnedShare(requests: readonly RequestResult[]): number {
   return sum(requests, ({ earned }) => earned) /
     sum(requests, ({ owed }) => owed);
 }
--- a/packages/bench/src/fleet/world.ts
+++ b/packages/bench/src/fleet/world.ts
@@ -1,5 +1,5 @@
 /**
- * One day of one deployment in virtual time.
+ * Runs a scenario in virtual time: callers, VMs, targets and the network between them.
  *
  * @module
  */
@@ -26,56 +26,60 @@
 import { EventLoop } from "../decisions/event_loop.ts";
 import { Callers } from "./callers.ts";
 import { EmulatedTarget } from "./emulated_target.ts";
-import { announced, type EmulatedRequest, EmulatedVm } from "./emulated_vm.ts";
-import { strike } from "./events.ts";
-import { KnownJobs, OracleSteering } from "./oracle.ts";
+import {
+  type EmulatedRequest,
+  EmulatedVm,
+  listEntryOf,
+} from "./emulated_vm.ts";
+import { applyEvent } from "./events.ts";
+import { ExpectedJobs, OracleSteering } from "./oracle.ts";
 import { Random } from "./random.ts";
 import type { RequestKind, Scenario, ScenarioService } from "./scenario.ts";
-import type { Served } from "./tally.ts";
+import type { RequestResult } from "./tally.ts";
 
-/** What decides in a run. */
+/** What places the requests in a run. */
 export type Policy = "gateway" | "oracle";
 
-/** One run. */
+/** A run of a scenario. */
 export interface RunOptions {
   readonly scenario: Scenario;
   readonly seed: number;
   readonly policy: Policy;
 }
 
-/** What came of it. */
+/** Result of a run. */
 export interface RunResult {
-  readonly requests: readonly Served[];
-  /** Attempts that were written to targets. */
+  readonly requests: readonly RequestResult[];
+  /** Attempts that were sent to targets. */
   readonly attempts: number;
-  /** Seconds in which a cold target got more than it bears. */
+  /** Number of times a cold target got more requests within one second than it can take. */
   readonly coldBreaches: number;
-  /** Share of what targets ran that was on objects that they kept. */
+  /** Share of the requests run by targets whose object was cached there. */
   readonly warmShare: number;
-  /** Mean wait for a slot at a target, in milliseconds. */
+  /** Mean wait for a slot at a target. */
   readonly targetWaitMs: number;
 }
 
-/** Time before the traffic, in milliseconds: VMs learn of each other and of the targets. */
-const LEAD_MS = 1_000;
-/** Time after the traffic in which what is open ends, in milliseconds. */
-const TAIL_MS = 10_000;
-/** Time until VMs that started know each other, in milliseconds: some heartbeats. */
-const MEET_MS = 500;
+/** Time before the traffic starts, in which the VMs learn of each other and of the targets. */
+const STARTUP_MS = 1_000;
+/** Time after the traffic in which open requests complete. */
+const COMPLETION_MS = 10_000;
+/** Time from a change of the running VMs until the others know it: a few heartbeats. */
+const MEMBERSHIP_DELAY_MS = 500;
 
-/** Plays a day. The runtime's clock is the day's while it lasts. */
-export function play(options: RunOptions): RunResult {
+/** Runs a scenario. Meanwhile `performance.now` returns the virtual time. */
+export function runScenario(options: RunOptions): RunResult {
   const real = performance.now;
   const loop = new EventLoop();
   performance.now = () => loop.now;
   try {
-    return new World(options, loop).play();
+    return new World(options, loop).run();
   } finally {
     performance.now = real;
   }
 }
 
-/** See the module's comment. Times are milliseconds. */
+/** State of a run. Points in time are milliseconds of virtual time. */
 export class World {
   readonly scenario: Scenario;
   readonly loop: EventLoop;
@@ -83,19 +87,19 @@
   readonly targets = new Map<TargetId, EmulatedTarget>();
   readonly vms = new Map<VmId, EmulatedVm>();
   readonly routes: ReadonlyMap<string, Route>;
-  readonly served: Served[] = [];
-  /** What the events have changed about the traffic. */
+  readonly results: RequestResult[] = [];
+  /** Changes that current events make to the traffic. */
   readonly traffic = {
     factor: 1,
     shifts: new Set<{ from: string; to: string; share: number }>(),
   };
-  readonly evacuated = new Set<ZoneId>();
+  readonly evacuatedZones = new Set<ZoneId>();
   attempts = 0;
   readonly #policy: Policy;
   readonly #regions: ReadonlyMap<ZoneId, RegionId>;
   readonly #services: ReadonlyMap<ServiceId, Service>;
   readonly #splits = new Map<string, WeightedSplit>();
-  readonly #jobs: KnownJobs;
+  readonly #jobs: ExpectedJobs;
   #targetCount = 0;
 
   constructor({ scenario, seed, policy }: RunOptions, loop: EventLoop) {
@@ -103,7 +107,7 @@
     this.loop = loop;
     this.random = new Random(seed);
     this.#policy = policy;
-    this.#jobs = new KnownJobs(scenario);
+    this.#jobs = new ExpectedJobs(scenario);
     this.#regions = new Map(
       scenario.zones.map(({ name, region }) => [
         name as ZoneId,
@@ -118,28 +122,31 @@
     );
   }
 
-  play(): RunResult {
+  run(): RunResult {
     this.#startTargets();
     this.scenario.zones.forEach(({ name, vms }) => {
-      for (let at = 1; at <= vms; at++) {
-        this.startVm(`${name}-${at}` as VmId, name as ZoneId);
+      for (let index = 1; index <= vms; index++) {
+        this.startVm(`${name}-${index}` as VmId, name as ZoneId);
       }
     });
-    const endsAt = LEAD_MS + this.scenario.seconds * 1_000;
+    const endsAt = STARTUP_MS + this.scenario.seconds * 1_000;
     this.scenario.events.forEach((event) =>
-      this.loop.after(LEAD_MS + event.at * 1_000, () => strike(this, event))
+      this.loop.after(
+        STARTUP_MS + event.at * 1_000,
+        () => applyEvent(this, event),
+      )
     );
-    new Callers(this, { from: LEAD_MS, until: endsAt }).start();
-    this.loop.runUntil(endsAt + TAIL_MS);
+    new Callers(this, { from: STARTUP_MS, until: endsAt }).start();
+    this.loop.runUntil(endsAt + COMPLETION_MS);
     const sumOf = (valueOf: (one: EmulatedTarget) => number) =>
       [...this.targets.values()].reduce((sum, one) => sum + valueOf(one), 0);
-    const ran = sumOf((one) => one.ran);
+    const ran = sumOf((one) => one.handled);
     return {
-      requests: this.served,
+      requests: this.results,
       attempts: this.attempts,
       coldBreaches: sumOf((one) => one.coldBreaches),
-      warmShare: sumOf((one) => one.ranWarm) / ran,
-      targetWaitMs: sumOf((one) => one.waitedMs) / ran,
+      warmShare: sumOf((one) => one.handledWarm) / ran,
+      targetWaitMs: sumOf((one) => one.totalWaitMs) / ran,
     };
   }
 
@@ -147,8 +154,8 @@
     return this.#regions.get(zone)!;
   }
 
-  /** VMs that callers of a zone are told to use. */
-  vmsNear(zone: ZoneId): readonly EmulatedVm[] {
+  /** VMs that callers of a zone may use: those of its region, or all if none there is up. */
+  vmsFor(zone: ZoneId): readonly EmulatedVm[] {
     const up = [...this.vms.values()].filter(({ isUp }) => isUp);
     const near = up.filter(({ region }) => region === this.regionOf(zone));
     return near.length > 0 ? near : up;
@@ -160,7 +167,7 @@
     return caller + this.#delayMs(zone, vm.zone);
   }
 
-  /** The service that a VM's next request of a kind goes to. */
+  /** The service for a VM's next request of a kind, by the weights of its split. */
   serviceFor(vm: EmulatedVm, kind: RequestKind): ServiceId {
     const key = `${vm.vm} ${kind.name}`;
     let split = this.#splits.get(key);
@@ -172,7 +179,7 @@
     return split.next()!;
   }
 
-  /** A new, empty target. */
+  /** Adds a target with an empty cache. */
   addTarget(service: ScenarioService, zone: ZoneId): EmulatedTarget {
     this.#targetCount += 1;
     const id = `${service.name}-${this.#targetCount}` as TargetId;
@@ -187,35 +194,35 @@
       },
       service,
       loop: this.loop,
-      chance: () => this.random.uniform(),
+      random: () => this.random.uniform(),
     });
     this.targets.set(id, target);
     return target;
   }
 
-  /** Targets that take requests. */
-  live(): readonly EmulatedTarget[] {
+  /** Targets that are up and not leaving. */
+  liveTargets(): readonly EmulatedTarget[] {
     return [...this.targets.values()]
       .filter(({ isUp, isLeaving }) => isUp && !isLeaving);
   }
 
-  /** The platform's list has changed; VMs hear of it after a while. */
-  publish(): void {
+  /** Gives all VMs the platform's list of targets, as it is after the delay of a list change. */
+  publishTargets(): void {
     this.loop.after(this.scenario.delaysMs.news, () => {
-      const list = this.#list();
-      this.vms.forEach((vm) => vm.listed(list));
+      const list = this.#targetList();
+      this.vms.forEach((vm) => vm.setTargets(list));
     });
   }
 
-  /** Zones to be left alone have changed. */
+  /** Gives all VMs the evacuated zones, as they are after the delay of a list change. */
   publishEvacuations(): void {
     this.loop.after(this.scenario.delaysMs.news, () => {
-      const zones = new Set(this.evacuated);
+      const zones = new Set(this.evacuatedZones);
       this.vms.forEach((vm) => vm.path.evacuate(zones, this.loop.now));
     });
   }
 
-  /** Starts a VM that knows nothing. */
+  /** Starts a VM without state. */
   startVm(name: VmId, zone: ZoneId): void {
     const region = this.regionOf(zone);
     const vm = new EmulatedVm({
@@ -225,10 +232,10 @@
       zones: this.#regions,
       services: this.#services,
       loop: this.loop,
-      steering: this.#steering({
+      steering: this.#createSteering({
         vm: name,
         place: { zone, region },
-        warmed: (pair) => this.#tellWarm(name, pair),
+        warmed: (pair) => this.#publishWarmTarget(name, pair),
         retries: {
           ratio: this.scenario.retries.ratio,
           fixed: this.scenario.retries.fixed,
@@ -238,17 +245,17 @@
       target: (id) => this.targets.get(id)!,
       delayMs: ({ placed }) => this.#delayMs(zone, placed.zone),
       newConnectionMs: this.scenario.delaysMs.newConnection,
-      attempted: () => this.attempts += 1,
+      attemptSent: () => this.attempts += 1,
     });
     this.vms.set(name, vm);
-    vm.listed(this.#list());
-    vm.path.evacuate(new Set(this.evacuated), this.loop.now);
-    this.meet();
+    vm.setTargets(this.#targetList());
+    vm.path.evacuate(new Set(this.evacuatedZones), this.loop.now);
+    this.publishMembers();
   }
 
-  /** VMs hear of each other after a while. */
-  meet(): void {
-    this.loop.after(MEET_MS, () => {
+  /** Gives all running VMs the set of running VMs, as it is after {@link MEMBERSHIP_DELAY_MS}. */
+  publishMembers(): void {
+    this.loop.after(MEMBERSHIP_DELAY_MS, () => {
       const owners = [...this.vms.values()].filter(({ isUp }) => isUp)
         .map(({ vm, region }) => ({ vm, region, hash: hashText(vm) }));
       for (const vm of this.vms.values()) {
@@ -260,16 +267,17 @@
     });
   }
 
-  /** The other VMs of the region hear that a target is warm: those of the zone first. */
-  #tellWarm(from: VmId, pair: HashedPair): void {
+  /** Reports a warm target to the other VMs of the region; those of the same zone get it first. */
+  #publishWarmTarget(from: VmId, pair: HashedPair): void {
     const { zone, region } = this.vms.get(from)!;
     const { warmNearMs, warmFarMs } = this.scenario.delaysMs;
     for (const isNear of [true, false]) {
       this.loop.after(isNear ? warmNearMs : warmFarMs, () => {
         for (const vm of this.vms.values()) {
-          const hears = vm.isUp && vm.vm !== from && vm.region === region &&
+          const isReceiver = vm.isUp && vm.vm !== from &&
+            vm.region === region &&
             (vm.zone === zone) === isNear;
-          if (hears) {
+          if (isReceiver) {
             vm.path.steering.heardWarm(pair, this.loop.now);
           }
         }
@@ -277,52 +285,52 @@
     }
   }
 
-  #steering(options: SteeringOptions): Steering {
+  #createSteering(options: SteeringOptions): Steering {
     switch (this.#policy) {
       case "gateway":
         return new Steering(options);
       case "oracle":
-        return this.#oracle(options);
+        return this.#createOracle(options);
     }
   }
 
-  #oracle(options: SteeringOptions): Steering {
+  #createOracle(options: SteeringOptions): Steering {
     const { zone } = options.place;
     return new OracleSteering(options, {
       targets: ({ service }) =>
-        this.live().filter(({ placed }) =>
-          placed.service === service && !this.evacuated.has(placed.zone)
+        this.liveTargets().filter(({ placed }) =>
+          placed.service === service && !this.evacuatedZones.has(placed.zone)
         ),
-      answerAt: (target, { object, service }) => {
-        const wayMs = this.#delayMs(zone, target.placed.zone);
-        const job = this.#jobs.of(object, service);
-        const begins = Math.max(target.freeAt, this.loop.now + wayMs);
-        return begins + target.workMs(job) + wayMs;
+      responseAt: (target, { object, service }) => {
+        const delayMs = this.#delayMs(zone, target.placed.zone);
+        const job = this.#jobs.jobFor(object, service);
+        const startsAt = Math.max(target.nextSlotAt, this.loop.now + delayMs);
+        return startsAt + target.durationMs(job) + delayMs;
       },
     });
   }
 
-  /** What the oracle knows of a request that comes. */
-  remember(request: EmulatedRequest, kind: RequestKind): void {
+  /** Records what the oracle knows of a request. */
+  recordJob(request: EmulatedRequest, kind: RequestKind): void {
     if (this.#policy === "oracle") {
-      this.#jobs.remember(request, kind);
+      this.#jobs.record(request, kind);
     }
   }
 
   #startTargets(): void {
     for (const service of this.scenario.services) {
       for (const [zone, count] of Object.entries(service.targets)) {
-        for (let at = 0; at < count; at++) {
+        for (let index = 0; index < count; index++) {
           this.addTarget(service, zone as ZoneId);
         }
       }
     }
   }
 
-  #list(): ReadonlyMap<TargetId, AnnouncedTarget> {
+  #targetList(): ReadonlyMap<TargetId, AnnouncedTarget> {
     return new Map(
       [...this.targets.values()].filter(({ isListed }) => isListed)
-        .map((target) => [target.placed.id, announced(target)]),
+        .map((target) => [target.placed.id, listEntryOf(target)]),
     );
   }
 
