--- a/packages/standins/src/admin.ts
+++ b/packages/standins/src/admin.ts
@@ -1,7 +1,7 @@
 /**
- * What every stand-in process has in common: an administration listener on a
- * port of its own choosing, one line on standard output that says where, and
- * an end when the process that started it is gone.
+ * Common parts of every stand-in process: an administration listener on a free
+ * port, one line on standard output with its address, and an exit when the
+ * parent process ends.
  *
  * @module
  */
@@ -15,33 +15,33 @@
 import process from "node:process";
 import { readJson, sendJson } from "./http_json.ts";
 
-/** Answers one call of the administration listener; undefined answers 404. */
+/** Handles one call to the administration listener; undefined results in a 404. */
 export type AdminHandler = (
   operation: string,
   body: unknown,
 ) => Promise<unknown> | unknown;
 
-/** The line that a stand-in process prints once it serves. */
+/** The line that a stand-in process prints when it is ready. */
 export interface ReadyLine {
   /** `http://host:port` of the administration listener. */
   readonly admin: string;
 }
 
-/** Serves `handler`, prints the {@link ReadyLine}, and ends with its parent. */
+/** Serves `handler`, prints the {@link ReadyLine} and exits with its parent process. */
 export async function serveAdmin(handler: AdminHandler): Promise<void> {
   exitWithParent();
   const server = createServer((req, res) => {
-    answer(handler, req, res).catch((err) =>
+    handleRequest(handler, req, res).catch((err) =>
       sendJson(res, 500, { message: String(err) })
     );
   });
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as AddressInfo;
-  const line: ReadyLine = { admin: `http://127.0.0.1:${port}` };
-  console.log(JSON.stringify(line));
+  const readyLine: ReadyLine = { admin: `http://127.0.0.1:${port}` };
+  console.log(JSON.stringify(readyLine));
 }
 
-async function answer(
+async function handleRequest(
   handler: AdminHandler,
   req: IncomingMessage,
   res: ServerResponse,
@@ -52,9 +52,9 @@
 }
 
 /**
- * Ends the process when its standard input ends. The parent holds the other
- * end: were it killed without a chance to clean up, its stand-ins would
- * otherwise stay behind and hold their addresses.
+ * Exits when standard input ends. The parent process holds the other end of the
+ * pipe, so a stand-in exits and frees its address even if its parent was killed
+ * and could not clean up.
  */
 function exitWithParent(): void {
   process.stdin.once("end", () => process.exit(0));
@@ -62,7 +62,7 @@
   process.stdin.resume();
 }
 
-/** The settings of a stand-in process: JSON, as its only argument. */
+/** Reads the options of a stand-in process: JSON in its only argument. */
 export function processOptions<T>(): T {
   return JSON.parse(process.argv[2] ?? "{}") as T;
 }
--- a/packages/standins/src/caller/attempt.ts
+++ b/packages/standins/src/caller/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt: a request sent to one entry VM, and what came of it.
+ * One attempt: sends a request to one entry VM and classifies the result.
  *
  * @module
  */
@@ -7,60 +7,62 @@
 import { Buffer } from "node:buffer";
 import type { Dispatcher } from "undici";
 import {
-  ANSWER_BYTES_HEADER,
-  answerOf,
   ATTEMPT_HEADER,
   CRASH_HEADER,
-  digestOf,
+  requestDigest,
+  RESPONSE_BYTES_HEADER,
+  responseBody,
   WORK_MS_HEADER,
-} from "../work.ts";
+} from "../work_protocol.ts";
 import type { RequestKind } from "./request_kind.ts";
 
-/** A request, the same in each of its attempts. */
+/** A request; identical in each of its attempts. */
 export interface CallerRequest {
   readonly kind: RequestKind;
   readonly path: string;
-  /** Idempotency key; empty where there is none. */
+  /** Idempotency key; empty if there is none. */
   readonly key: string;
   readonly body: Buffer;
-  /** Makes each target crash that runs it. */
-  readonly crashes: boolean;
+  /** Whether each target that runs the request crashes. */
+  readonly crashesTarget: boolean;
 }
 
-/** What came of one attempt. */
+/** Result of one attempt. */
 export type AttemptResult =
   | { readonly kind: "served" }
+  /** The response had status 200, but its body is truncated or belongs to another request. */
   | {
     readonly kind: "answered-wrongly";
     readonly fault: "partial" | "wrong";
   }
   | {
     readonly kind: "refused";
+    /** Whether the request ran, according to the refusal; `unsaid` if it does not state it. */
     readonly outcome: "not-run" | "unknown" | "unsaid";
     readonly status: number;
-    /** Why, in the daemon's own word; the status alone where the body has none. */
+    /** The reason in the response body; the status if the body has none. */
     readonly reason: string;
-    /** When to come back; undefined where the refusal does not say. */
+    /** The `retry-after` header in milliseconds; undefined if there is none. */
     readonly retryAfterMs: number | undefined;
   }
-  /** The VM did not take the connection: nothing was sent. */
+  /** The VM did not accept the connection, so nothing was sent. */
   | { readonly kind: "not-taken" }
   /** The connection broke after the request may have been sent. */
   | { readonly kind: "broken"; readonly reason: string };
 
-/** Errors that undici gives before anything of a request was sent. */
-const NOT_SENT = new Set([
+/** Error codes that undici reports before any part of a request was sent. */
+const NOT_SENT_CODES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
 
-/** Longest wait for the head of an answer, and between two parts of its body. */
-const ANSWER_TIMEOUT_MS = 20_000;
+/** Longest wait for the head of a response, and between two chunks of its body. */
+const RESPONSE_TIMEOUT_MS = 20_000;
 
-/** Sends a request once and checks the answer against the whole that is due. */
-export async function attempt(
+/** Sends a request once and compares the response with the expected body. */
+export async function sendAttempt(
   dispatcher: Dispatcher,
   req: CallerRequest,
   names: { attempt: string; caller: string },
@@ -69,13 +71,13 @@
   const headers: Record<string, string> = {
     "poplarthread-caller": names.caller,
     [ATTEMPT_HEADER]: names.attempt,
-    [ANSWER_BYTES_HEADER]: String(kind.answerBytes),
+    [RESPONSE_BYTES_HEADER]: String(kind.answerBytes),
     [WORK_MS_HEADER]: String(kind.workMs),
   };
   if (req.key !== "") {
     headers["idempotency-key"] = req.key;
   }
-  if (req.crashes) {
+  if (req.crashesTarget) {
     headers[CRASH_HEADER] = "1";
   }
   try {
@@ -85,62 +87,66 @@
       method: kind.method,
       headers,
       body: req.body.length === 0 ? null : req.body,
-      headersTimeout: ANSWER_TIMEOUT_MS,
-      bodyTimeout: ANSWER_TIMEOUT_MS,
+      headersTimeout: RESPONSE_TIMEOUT_MS,
+      bodyTimeout: RESPONSE_TIMEOUT_MS,
     });
     const body = Buffer.from(await res.body.arrayBuffer());
     return res.statusCode === 200
-      ? verify(req, body)
-      : readRefusal(res.statusCode, res.headers, body);
+      ? checkBody(req, body)
+      : parseRefusal(res.statusCode, res.headers, body);
   } catch (err) {
-    return readError(err as Error & { code?: string });
+    return resultOfError(err as Error & { code?: string });
   }
 }
 
-function verify(req: CallerRequest, body: Buffer): AttemptResult {
-  const digest = digestOf({
+function checkBody(req: CallerRequest, body: Buffer): AttemptResult {
+  const digest = requestDigest({
     method: req.kind.method,
     path: req.path,
     key: req.key,
     body: req.body,
   });
-  const whole = answerOf(digest, req.kind.answerBytes);
-  if (body.equals(whole)) {
+  const expected = responseBody(digest, req.kind.answerBytes);
+  if (body.equals(expected)) {
     return { kind: "served" };
   }
-  const isStart = whole.subarray(0, body.length).equals(body);
-  return { kind: "answered-wrongly", fault: isStart ? "partial" : "wrong" };
+  const isPrefix = expected.subarray(0, body.length).equals(body);
+  return { kind: "answered-wrongly", fault: isPrefix ? "partial" : "wrong" };
 }
 
-function readRefusal(
+function parseRefusal(
   status: number,
   headers: Record<string, string | string[] | undefined>,
   body: Buffer,
 ): AttemptResult {
-  const said = headers["poplarthread-outcome"];
-  const after = Number(headers["retry-after"]);
+  const outcome = headers["poplarthread-outcome"];
+  const retryAfterS = Number(headers["retry-after"]);
   return {
     kind: "refused",
     status,
-    reason: reasonOf(body) ?? String(status),
-    outcome: said === "not-run" || said === "unknown" ? said : "unsaid",
-    retryAfterMs: Number.isFinite(after) ? after * 1_000 : undefined,
+    reason: parseReason(body) ?? String(status),
+    outcome: outcome === "not-run" || outcome === "unknown"
+      ? outcome
+      : "unsaid",
+    retryAfterMs: Number.isFinite(retryAfterS)
+      ? retryAfterS * 1_000
+      : undefined,
   };
 }
 
-function reasonOf(body: Buffer): string | undefined {
+function parseReason(body: Buffer): string | undefined {
   try {
     const { reason } = JSON.parse(body.toString("utf8")) as { reason?: string };
     return reason;
   } catch {
-    // Targets answer in their own words, which need not be JSON.
+    // Responses of targets need not be JSON.
     return undefined;
   }
 }
 
-function readError(err: Error & { code?: string }): AttemptResult {
+function resultOfError(err: Error & { code?: string }): AttemptResult {
   const code = err.code ?? err.message;
-  return NOT_SENT.has(code)
+  return NOT_SENT_CODES.has(code)
     ? { kind: "not-taken" }
     : { kind: "broken", reason: code };
 }
--- a/packages/standins/src/caller/caller.ts
+++ b/packages/standins/src/caller/caller.ts
@@ -1,7 +1,8 @@
 /**
- * A stand-in for callers in one place: looks entry VMs up, sends requests,
- * falls back to the next VM, sends keyed requests again after an unknown
- * outcome, and checks that each answer is whole and its own.
+ * A stand-in for the callers at one location: looks up entry VMs, sends requests,
+ * falls back to the next VM, retries idempotent and keyed requests after an
+ * unknown outcome, and checks that each response is complete and belongs to its
+ * request.
  *
  * @module
  */
@@ -9,84 +10,89 @@
 import { Buffer } from "node:buffer";
 import { setTimeout as sleep } from "node:timers/promises";
 import { Pool } from "undici";
-import { attempt, type AttemptResult, type CallerRequest } from "./attempt.ts";
+import {
+  type AttemptResult,
+  type CallerRequest,
+  sendAttempt,
+} from "./attempt.ts";
 import { LookupCache } from "./lookup.ts";
 import type { RequestKind } from "./request_kind.ts";
 import { increment, type Outcome, Results } from "./results.ts";
 
-/** Who the callers are and whom they know. */
+/** Identity of the callers, and the VMs that they know. */
 export interface CallerOptions {
-  /** Prefix of caller names, keys and attempts; unique over all callers. */
+  /** Prefix of caller names, keys and attempt names; unique across all callers. */
   readonly name: string;
-  /** Address that they connect from. */
+  /** Local address of the callers' connections. */
   readonly localAddress: string;
-  /** Addresses that they know from the start, `host:port`. */
+  /** Addresses for the first look-up, `host:port`. */
   readonly bootstrap: readonly string[];
 }
 
-/** What a test may want otherwise of one request. */
+/** Options of one request. */
 export interface SendOptions {
-  /** Address of the VM to try first; without it the best of the look-up. */
+  /** Address of the VM to try first; by default the best one of the look-up. */
   readonly via?: string;
-  /** Key of an earlier request, to send that one again. */
+  /** Key of an earlier request, to repeat that request. */
   readonly key?: string;
-  /** Name in the path of a request without key, to send that one again. */
-  readonly name?: string;
-  readonly crashes?: boolean;
-  /** Name of the caller; the system shares slots fairly among names. */
+  /** Last path segment; with it a request without a key can be repeated. By default the key, or a number. */
+  readonly pathSuffix?: string;
+  /** Whether each target that runs the request crashes. */
+  readonly crashesTarget?: boolean;
+  /** Name of the caller; slots are divided fairly among caller names. */
   readonly caller?: string;
-  /** Most attempts in all; 1 never sends again. */
+  /** Largest number of attempts; 1 means no retries. */
   readonly maxAttempts?: number;
 }
 
-/** How one request ended. */
+/** Result of one request. */
 export interface SendResult {
   readonly outcome: Outcome;
   readonly key: string;
   readonly attempts: readonly AttemptResult[];
 }
 
-/** Ends the names of attempts that must run once though they have no key. */
-export const UNKEYED_SUFFIX = "/once";
+/** Suffix of the names of attempts that must run at most once but have no key. */
+export const AT_MOST_ONCE_SUFFIX = "/once";
 /** One-way delay between callers and their nearest entry VM. */
-const CALLER_DELAY_MS = 1;
+const CALLER_TO_VM_DELAY_MS = 1;
 const CONNECT_TIMEOUT_MS = 2_000;
-/** Connections that callers in one place keep to one VM. */
+/** Largest number of connections from one location to a VM. */
 const CONNECTIONS_PER_VM = 64;
-/** Attempts of one request, fallbacks and repeats together. */
+/** Largest number of attempts of one request, fallbacks and retries included. */
 const MAX_ATTEMPTS = 6;
-/** Wait before a repeat where the refusal does not say how long. */
-const REPEAT_WAIT_MS = 300;
-/** No caller waits longer than this between two attempts, whatever it is told. */
-const MAX_WAIT_MS = 2_000;
+/** Wait before a retry if the refusal does not specify one. */
+const DEFAULT_RETRY_WAIT_MS = 300;
+/** Longest wait between two attempts, also if a refusal requests a longer one. */
+const MAX_RETRY_WAIT_MS = 2_000;
 
-/** Callers in one place. */
+/** The callers at one location, which share connections, look-up cache and results. */
 export class Caller {
   readonly results = new Results();
   readonly #options: CallerOptions;
   readonly #pools = new Map<string, Pool>();
   readonly #lookup: LookupCache;
-  #number = 0;
+  #lastNumber = 0;
 
   constructor(options: CallerOptions) {
     this.#options = options;
     this.#lookup = new LookupCache({
       bootstrap: options.bootstrap,
-      dispatcherOf: (address) => this.#pool(address),
+      dispatcherOf: (address) => this.#poolFor(address),
       onLookup: () => this.results.lookups += 1,
     });
   }
 
-  /** Sends one request of a kind and sees it through. */
+  /** Sends one request with fallbacks and retries, and records its outcome. */
   async send(
     kind: RequestKind,
     options: SendOptions = {},
   ): Promise<SendResult> {
     this.results.requests += 1;
     const startedAt = performance.now();
-    const req = this.#make(kind, options);
-    await sleep(CALLER_DELAY_MS);
-    const result = await this.#seeThrough(req, options);
+    const req = this.#createRequest(kind, options);
+    await sleep(CALLER_TO_VM_DELAY_MS);
+    const result = await this.#sendWithRetries(req, options);
     increment(this.results.outcomes, result.outcome);
     if (result.outcome === "served") {
       this.results.latency.recordValue(performance.now() - startedAt);
@@ -102,22 +108,22 @@
     await Promise.all([...this.#pools.values()].map((pool) => pool.destroy()));
   }
 
-  #make(kind: RequestKind, options: SendOptions): CallerRequest {
+  #createRequest(kind: RequestKind, options: SendOptions): CallerRequest {
     const number = String(this.#nextNumber());
     const key = options.key ??
       (kind.repeat === "keyed" ? `${this.#options.name}-${number}` : "");
-    // A repeat must be the same request in every part, so all follow the key.
-    const name = options.name ?? (key === "" ? number : key);
+    // A repeated request must be identical in every part, so path and body are derived from the key.
+    const name = options.pathSuffix ?? (key === "" ? number : key);
     return {
       kind,
       path: `${kind.path}/${name}`,
       key,
       body: Buffer.alloc(kind.bodyBytes, name),
-      crashes: options.crashes ?? false,
+      crashesTarget: options.crashesTarget ?? false,
     };
   }
 
-  async #seeThrough(
+  async #sendWithRetries(
     req: CallerRequest,
     options: SendOptions,
   ): Promise<SendResult> {
@@ -127,17 +133,20 @@
       : [options.via, ...ranked.filter((other) => other !== options.via)];
     const maxAttempts = options.maxAttempts ?? MAX_ATTEMPTS;
     const attempts: AttemptResult[] = [];
-    let wasUnknown = false;
+    let hadUnknown = false;
     for (let n = 0; n < maxAttempts; n++) {
       const address = addresses[n % addresses.length]!;
       const result = await this.#attempt(req, address, options);
       attempts.push(result);
-      const next = decide(req.kind, result);
-      wasUnknown ||= next.kind === "repeat" && next.outcome === "unknown";
+      const next = nextStep(req.kind, result);
+      hadUnknown ||= next.kind === "repeat" && next.outcome === "unknown";
       const isLast = n === maxAttempts - 1;
       if (next.kind === "done" || isLast) {
-        const outcome = finalOutcome(next.outcome, wasUnknown);
-        this.#countEnd(next.outcome, { wasUnknown, isRepeat: n > 0 });
+        const outcome = finalOutcome(next.outcome, hadUnknown);
+        this.#countRetryOutcome(next.outcome, {
+          hadUnknown,
+          isRetry: n > 0,
+        });
         return { outcome, key: req.key, attempts };
       }
       if (next.outcome === "unknown") {
@@ -145,17 +154,17 @@
       }
       await sleep(next.waitMs);
     }
-    throw new Error("Cannot send a request: it has no attempts");
+    throw new Error("Cannot send a request: maxAttempts must be at least 1");
   }
 
-  #countEnd(
+  #countRetryOutcome(
     last: Outcome,
-    { wasUnknown, isRepeat }: { wasUnknown: boolean; isRepeat: boolean },
+    { hadUnknown, isRetry }: { hadUnknown: boolean; isRetry: boolean },
   ): void {
-    if (wasUnknown && isRepeat && last === "served") {
+    if (hadUnknown && isRetry && last === "served") {
       this.results.repeatsServed += 1;
     }
-    if (wasUnknown && last === "refused-not-run") {
+    if (hadUnknown && last === "refused-not-run") {
       this.results.notRunAfterUnknown += 1;
     }
   }
@@ -165,17 +174,17 @@
     address: string,
     options: SendOptions,
   ): Promise<AttemptResult> {
-    const suffix = req.kind.repeat === "unkeyed" ? UNKEYED_SUFFIX : "";
+    const suffix = req.kind.repeat === "unkeyed" ? AT_MOST_ONCE_SUFFIX : "";
     const name = `${this.#options.name}/${this.#nextNumber()}${suffix}`;
-    const result = await attempt(this.#pool(address), req, {
+    const result = await sendAttempt(this.#poolFor(address), req, {
       attempt: name,
       caller: options.caller ?? this.#options.name,
     });
-    this.#count(result, { address, name });
+    this.#countAttempt(result, { address, name });
     return result;
   }
 
-  #count(
+  #countAttempt(
     result: AttemptResult,
     { address, name }: { address: string; name: string },
   ): void {
@@ -203,10 +212,10 @@
     }
   }
 
-  #pool(address: string): Pool {
-    const known = this.#pools.get(address);
-    if (known !== undefined) {
-      return known;
+  #poolFor(address: string): Pool {
+    const existing = this.#pools.get(address);
+    if (existing !== undefined) {
+      return existing;
     }
     const pool = new Pool(`http://${address}`, {
       connections: CONNECTIONS_PER_VM,
@@ -220,13 +229,13 @@
   }
 
   #nextNumber(): number {
-    this.#number += 1;
-    return this.#number;
+    this.#lastNumber += 1;
+    return this.#lastNumber;
   }
 }
 
 /** What a caller does after an attempt. */
-type Next =
+type NextStep =
   | { readonly kind: "done"; readonly outcome: Outcome }
   | {
     readonly kind: "repeat";
@@ -234,35 +243,35 @@
     readonly waitMs: number;
   };
 
-/** A caller sends again only what may be sent again: see each line. */
-function decide(kind: RequestKind, result: AttemptResult): Next {
-  const mayRepeat = kind.repeat !== "unkeyed";
+/** Decides whether to retry after an attempt; only requests that may safely be repeated are retried. */
+function nextStep(kind: RequestKind, result: AttemptResult): NextStep {
+  const mayRetry = kind.repeat !== "unkeyed";
   switch (result.kind) {
     case "served":
       return { kind: "done", outcome: "served" };
     case "answered-wrongly":
       return { kind: "done", outcome: "unknown" };
     case "not-taken":
-      // Nothing was sent, so even a request without a key goes to the next VM.
+      // Nothing was sent, so even a request without a key may go to the next VM.
       return { kind: "repeat", outcome: "unreachable", waitMs: 0 };
     case "broken":
-      return mayRepeat
-        ? { kind: "repeat", outcome: "unknown", waitMs: REPEAT_WAIT_MS }
+      return mayRetry
+        ? { kind: "repeat", outcome: "unknown", waitMs: DEFAULT_RETRY_WAIT_MS }
         : { kind: "done", outcome: "unknown" };
     case "refused":
-      return decideRefused(kind, result);
+      return nextStepAfterRefusal(kind, result);
   }
 }
 
-function decideRefused(
+function nextStepAfterRefusal(
   kind: RequestKind,
   result: AttemptResult & { kind: "refused" },
-): Next {
-  const told = result.retryAfterMs ?? REPEAT_WAIT_MS;
-  const waitMs = Math.min(told, MAX_WAIT_MS);
+): NextStep {
+  const requestedMs = result.retryAfterMs ?? DEFAULT_RETRY_WAIT_MS;
+  const waitMs = Math.min(requestedMs, MAX_RETRY_WAIT_MS);
   switch (result.outcome) {
     case "not-run":
-      // Callers give up on a refusal, so that it is counted; people come back later.
+      // Not retried, so that the refusal is counted as the outcome of the request.
       return { kind: "done", outcome: "refused-not-run" };
     case "unknown":
       return kind.repeat === "unkeyed"
@@ -273,7 +282,7 @@
   }
 }
 
-/** A refusal speaks of its own attempt; an earlier one may still have run. */
-function finalOutcome(last: Outcome, wasUnknown: boolean): Outcome {
-  return last !== "served" && wasUnknown ? "unknown" : last;
+/** A refusal only concerns its own attempt; an earlier one may still have run. */
+function finalOutcome(last: Outcome, hadUnknown: boolean): Outcome {
+  return last !== "served" && hadUnknown ? "unknown" : last;
 }
--- a/packages/standins/src/caller/caller_main.ts
+++ b/packages/standins/src/caller/caller_main.ts
@@ -1,16 +1,16 @@
 /**
- * Runs callers of several places: `caller_main.js '{"groups"}'`. Its
- * administration listener answers `stop` when the last open request has
- * ended, and `results` with one report for each group.
+ * Runs callers at several locations: `caller_main.js '{"groups"}'`. Its
+ * administration listener handles `stop`, which returns when the last open
+ * request has ended, and `results`, which returns one report per group.
  *
  * @module
  */
 
 import { processOptions, serveAdmin } from "../admin.ts";
 import { Caller, type CallerOptions } from "./caller.ts";
-import { Load, type LoadOptions } from "./load.ts";
+import { LoadGenerator, type LoadOptions } from "./load.ts";
 
-/** Callers of one place and the load they make. */
+/** The callers at one location and the load that they generate. */
 export interface CallerGroup {
   readonly caller: CallerOptions;
   readonly load: LoadOptions;
@@ -19,7 +19,7 @@
 const options = processOptions<{ groups: readonly CallerGroup[] }>();
 const groups = options.groups.map((group) => {
   const caller = new Caller(group.caller);
-  return { caller, load: new Load(caller, group.load) };
+  return { caller, load: new LoadGenerator(caller, group.load) };
 });
 groups.forEach(({ load }) => load.start());
 
--- a/packages/standins/src/caller/caller_test.ts
+++ b/packages/standins/src/caller/caller_test.ts
@@ -1,7 +1,7 @@
 import { createServer, type RequestListener } from "node:http";
 import type { AddressInfo } from "node:net";
 import { expect, test } from "vitest";
-import { answerOf, digestOf } from "../work.ts";
+import { requestDigest, responseBody } from "../work_protocol.ts";
 import { readBytes } from "../http_json.ts";
 import { Caller } from "./caller.ts";
 import { LOOKUP_PATH } from "./lookup.ts";
@@ -9,14 +9,14 @@
 
 const BOOKING = MIXES.kinolenta.find(({ name }) => name === "booking")!;
 
-/** Plays one entry VM that is the only one named by its look-up. */
-async function onVm(
-  work: RequestListener,
+/** Runs `body` with a fake entry VM whose look-up returns only itself. */
+async function withVm(
+  handleWork: RequestListener,
   body: (caller: Caller, address: string) => Promise<void>,
 ): Promise<void> {
   const server = createServer((req, res) => {
     if (req.url !== LOOKUP_PATH) {
-      return work(req, res);
+      return handleWork(req, res);
     }
     const vms = [{ address: req.headers.host }];
     res.end(JSON.stringify({ lifetimeMs: 60_000, vms }));
@@ -27,7 +27,7 @@
   const caller = new Caller({
     name: "c",
     localAddress: "127.0.0.1",
-    // Nobody listens on the first: callers must go on to the next.
+    // Nothing listens on the first address: callers must try the next.
     bootstrap: ["127.0.0.1:1", address],
   });
   try {
@@ -39,26 +39,26 @@
   }
 }
 
-function answering(part: number): RequestListener {
+function respondWith(share: number): RequestListener {
   return async (req, res) => {
     const body = await readBytes(req);
     const key = String(req.headers["idempotency-key"]);
-    const digest = digestOf({ method: "POST", path: req.url!, key, body });
-    const whole = answerOf(digest, BOOKING.answerBytes);
-    res.end(whole.subarray(0, Math.floor(whole.length * part)));
+    const digest = requestDigest({ method: "POST", path: req.url!, key, body });
+    const complete = responseBody(digest, BOOKING.answerBytes);
+    res.end(complete.subarray(0, Math.floor(complete.length * share)));
   };
 }
 
-test("a broken connection makes a keyed request go out again under its key", async () => {
+test("a keyed request is retried with the same key after its connection broke", async () => {
   const keys: unknown[] = [];
-  const answer = answering(1);
-  await onVm((req, res) => {
+  const respond = respondWith(1);
+  await withVm((req, res) => {
     keys.push(req.headers["idempotency-key"]);
     if (keys.length === 1) {
       res.destroy();
       return;
     }
-    answer(req, res);
+    respond(req, res);
   }, async (caller) => {
     const { outcome, key } = await caller.send(BOOKING);
     expect(outcome).toBe("served");
@@ -70,8 +70,8 @@
   });
 });
 
-test("an answer that is cut short but looks whole is counted as partial", async () => {
-  await onVm(answering(0.5), async (caller) => {
+test("a truncated body in a complete HTTP response is counted as partial", async () => {
+  await withVm(respondWith(0.5), async (caller) => {
     await caller.send(BOOKING);
     expect(caller.results.report()).toMatchObject({
       partialAnswers: 1,
@@ -80,8 +80,8 @@
   });
 });
 
-test("a VM that takes no connection is passed over, since nothing was sent", async () => {
-  await onVm(answering(1), async (caller) => {
+test("a request falls back to the next VM if one accepts no connection, since nothing was sent", async () => {
+  await withVm(respondWith(1), async (caller) => {
     const { outcome, attempts } = await caller.send(BOOKING, {
       via: "127.0.0.1:1",
     });
--- a/packages/standins/src/caller/load.ts
+++ b/packages/standins/src/caller/load.ts
@@ -1,6 +1,6 @@
 /**
- * Load of a steady rate: requests begin whether or not earlier ones have
- * ended, as with people who know nothing of each other.
+ * Open-loop load at a constant rate: requests start whether or not earlier ones
+ * have ended, as with independent callers.
  *
  * @module
  */
@@ -10,26 +10,26 @@
 import type { Caller } from "./caller.ts";
 import type { RequestKind } from "./request_kind.ts";
 
-/** What is sent and how fast. */
+/** The requests to send and their rate. */
 export interface LoadOptions {
   readonly mix: readonly RequestKind[];
   readonly perSecond: number;
-  /** Number of names that the callers use. */
+  /** Number of distinct caller names. */
   readonly names: number;
   readonly seed: number;
 }
 
 const TICK_MS = 20;
 
-/** Sends a mix of requests until it is stopped. */
-export class Load {
+/** Sends a mix of requests until stopped. */
+export class LoadGenerator {
   readonly #caller: Caller;
   readonly #options: LoadOptions;
   readonly #generator;
-  readonly #open = new Set<Promise<unknown>>();
+  readonly #pending = new Set<Promise<unknown>>();
   #timer: NodeJS.Timeout | undefined;
-  #due = 0;
-  #lastAt = 0;
+  #dueCount = 0;
+  #lastTickAt = 0;
 
   constructor(caller: Caller, options: LoadOptions) {
     this.#caller = caller;
@@ -38,40 +38,41 @@
   }
 
   start(): void {
-    this.#lastAt = performance.now();
+    this.#lastTickAt = performance.now();
     this.#timer = setInterval(() => this.#tick(), TICK_MS);
   }
 
-  /** Begins no more requests and waits for those that are open. */
+  /** Stops sending and waits for open requests. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
-    await Promise.all(this.#open);
+    await Promise.all(this.#pending);
   }
 
   #tick(): void {
     const now = performance.now();
-    this.#due += (now - this.#lastAt) / 1_000 * this.#options.perSecond;
-    this.#lastAt = now;
-    for (; this.#due >= 1; this.#due--) {
-      this.#begin();
+    this.#dueCount += (now - this.#lastTickAt) / 1_000 *
+      this.#options.perSecond;
+    this.#lastTickAt = now;
+    for (; this.#dueCount >= 1; this.#dueCount--) {
+      this.#sendOne();
     }
   }
 
-  #begin(): void {
+  #sendOne(): void {
     const name = Math.floor(this.#random() * this.#options.names);
     const sent = this.#caller
-      .send(this.#pick(), { caller: `caller-${name}` })
-      .finally(() => this.#open.delete(sent));
-    this.#open.add(sent);
+      .send(this.#pickKind(), { caller: `caller-${name}` })
+      .finally(() => this.#pending.delete(sent));
+    this.#pending.add(sent);
   }
 
-  #pick(): RequestKind {
+  #pickKind(): RequestKind {
     const { mix } = this.#options;
     const total = mix.reduce((sum, { weight }) => sum + weight, 0);
-    let left = this.#random() * total;
+    let remaining = this.#random() * total;
     for (const kind of mix) {
-      left -= kind.weight;
-      if (left < 0) {
+      remaining -= kind.weight;
+      if (remaining < 0) {
         return kind;
       }
     }
--- a/packages/standins/src/caller/lookup.ts
+++ b/packages/standins/src/caller/lookup.ts
@@ -1,6 +1,6 @@
 /**
- * A caller's side of the look-up: asks any entry VM which ones to use, and
- * caches the answer for its lifetime.
+ * The caller's side of the look-up: asks any entry VM which ones to use, and
+ * caches the response for its lifetime.
  *
  * @module
  */
@@ -10,24 +10,24 @@
 /** Path of the look-up. */
 export const LOOKUP_PATH = "/.well-known/poplarthread/lookup";
 
-/** What the cache needs of whoever has the connections. */
+/** Options of a {@link LookupCache}. */
 export interface LookupOptions {
-  /** Addresses that callers know from the start, `host:port`. */
+  /** Addresses for the first look-up, `host:port`. */
   readonly bootstrap: readonly string[];
   readonly dispatcherOf: (address: string) => Dispatcher;
-  /** Told each time a VM answers a look-up. */
+  /** Called after each successful look-up. */
   readonly onLookup: () => void;
 }
 
-/** An answer and until when it may be used. */
+/** The result of a look-up and its expiry time. */
 interface Cached {
   readonly addresses: readonly string[];
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 const LOOKUP_TIMEOUT_MS = 3_000;
 
-/** Caches the ranked entry VMs. */
+/** Caches the addresses of entry VMs in the order in which to use them. */
 export class LookupCache {
   readonly #options: LookupOptions;
   #cached: Cached | undefined;
@@ -37,34 +37,36 @@
     this.#options = options;
   }
 
-  /** Addresses of entry VMs, best first; falls back to what is known when none answers. */
+  /** Returns the addresses of entry VMs, best first; all known ones if no look-up succeeds. */
   async addresses(): Promise<readonly string[]> {
-    if (this.#cached !== undefined && performance.now() < this.#cached.until) {
+    if (
+      this.#cached !== undefined && performance.now() < this.#cached.expiresAt
+    ) {
       return this.#cached.addresses;
     }
-    this.#pending ??= this.#ask().finally(() => this.#pending = undefined);
+    this.#pending ??= this.#lookUp().finally(() => this.#pending = undefined);
     return await this.#pending;
   }
 
-  async #ask(): Promise<readonly string[]> {
-    const known = [
+  async #lookUp(): Promise<readonly string[]> {
+    const candidates = [
       ...this.#cached?.addresses ?? [],
       ...this.#options.bootstrap,
     ];
-    for (const address of new Set(known)) {
-      const answer = await this.#askOne(address);
-      if (answer !== undefined) {
+    for (const address of new Set(candidates)) {
+      const found = await this.#lookUpAt(address);
+      if (found !== undefined) {
         this.#options.onLookup();
-        this.#cached = answer;
-        return answer.addresses;
+        this.#cached = found;
+        return found.addresses;
       }
     }
-    return known;
+    return candidates;
   }
 
-  async #askOne(address: string): Promise<Cached | undefined> {
-    // The lifetime counts from before the question: by the VM's clock it began no later.
-    const askedAt = performance.now();
+  async #lookUpAt(address: string): Promise<Cached | undefined> {
+    // Counted from before the request is sent, so the entry expires here no later than on the VM.
+    const sentAt = performance.now();
     try {
       const res = await this.#options.dispatcherOf(address).request({
         origin: undefined,
@@ -72,20 +74,20 @@
         method: "GET",
         signal: AbortSignal.timeout(LOOKUP_TIMEOUT_MS),
       });
-      const body = await res.body.json() as LookupBody;
+      const body = await res.body.json() as LookupResponse;
       const addresses = body.vms.map((vm) => vm.address ?? vm.caller ?? "");
       return res.statusCode === 200 && addresses.length > 0
-        ? { addresses, until: askedAt + body.lifetimeMs }
+        ? { addresses, expiresAt: sentAt + body.lifetimeMs }
         : undefined;
     } catch {
-      // A VM that is gone, freezing or starting: the next one is asked.
+      // The VM is down, frozen or starting: the next one is tried.
       return undefined;
     }
   }
 }
 
-/** The look-up's answer, as far as a caller needs it. */
-interface LookupBody {
+/** The fields of the look-up response that a caller needs. */
+interface LookupResponse {
   readonly lifetimeMs: number;
   readonly vms: readonly {
     readonly address?: string;
--- a/packages/standins/src/caller/request_kind.ts
+++ b/packages/standins/src/caller/request_kind.ts
@@ -1,53 +1,65 @@
 /**
- * The mix of requests that callers send, by deployment.
+ * The mix of requests that callers send in each deployment.
  *
  * @module
  */
 
 import type { DeploymentName } from "../presets.ts";
 
-/** How a request may be sent again. */
-export type Repeat =
+/** Under which condition a request may be sent again. */
+export type RetryRule =
   | "idempotent"
-  /** At most once, with an idempotency key. */
+  /** Runs at most once; it may be sent again with its idempotency key. */
   | "keyed"
-  /** At most once, without a key. */
+  /** Runs at most once and has no key; it must not be sent again. */
   | "unkeyed";
 
 /** One kind of request. */
 export interface RequestKind {
   readonly name: string;
   readonly method: "GET" | "POST";
-  /** Path; the caller adds a number of its own. */
+  /** Path; the caller appends a segment that identifies the request. */
   readonly path: string;
-  readonly repeat: Repeat;
-  /** Weight in the mix. */
+  readonly repeat: RetryRule;
+  /** Relative frequency in the mix. */
   readonly weight: number;
   readonly bodyBytes: number;
   readonly answerBytes: number;
-  /** Time that the work takes on a warm target, in milliseconds. */
+  /** Duration of the work on a warm target. */
   readonly workMs: number;
 }
 
-/** The kinds of requests that callers of a deployment send. */
+/** The kinds of requests that the callers of each deployment send. */
 export const MIXES: Readonly<Record<DeploymentName, readonly RequestKind[]>> = {
   hlasovka: [
-    read("draft", "/drafts", { weight: 60, answerBytes: 20_000 }),
-    read("past-comments", "/comments", { weight: 20, answerBytes: 8_000 }),
-    order("comment", "/comments", { weight: 10, repeat: "keyed" }),
-    order("comment-unkeyed", "/comments", { weight: 2, repeat: "unkeyed" }),
-    order("objection", "/objections", { weight: 8, repeat: "keyed" }),
+    idempotentKind("draft", "/drafts", { weight: 60, answerBytes: 20_000 }),
+    idempotentKind("past-comments", "/comments", {
+      weight: 20,
+      answerBytes: 8_000,
+    }),
+    atMostOnceKind("comment", "/comments", { weight: 10, repeat: "keyed" }),
+    atMostOnceKind("comment-unkeyed", "/comments", {
+      weight: 2,
+      repeat: "unkeyed",
+    }),
+    atMostOnceKind("objection", "/objections", { weight: 8, repeat: "keyed" }),
   ],
   kinolenta: [
-    read("playlist", "/playlists", { weight: 50, answerBytes: 40_000 }),
-    read("slots", "/slots", { weight: 20, answerBytes: 8_000 }),
-    order("booking", "/bookings", { weight: 15, repeat: "keyed" }),
-    order("booking-unkeyed", "/bookings", { weight: 2, repeat: "unkeyed" }),
-    order("purchase", "/purchases", { weight: 13, repeat: "keyed" }),
+    idempotentKind("playlist", "/playlists", {
+      weight: 50,
+      answerBytes: 40_000,
+    }),
+    idempotentKind("slots", "/slots", { weight: 20, answerBytes: 8_000 }),
+    atMostOnceKind("booking", "/bookings", { weight: 15, repeat: "keyed" }),
+    atMostOnceKind("booking-unkeyed", "/bookings", {
+      weight: 2,
+      repeat: "unkeyed",
+    }),
+    atMostOnceKind("purchase", "/purchases", { weight: 13, repeat: "keyed" }),
   ],
 };
 
-function read(
+function idempotentKind(
   name: string,
   path: string,
   { weight, answerBytes }: { weight: number; answerBytes: number },
@@ -64,10 +76,10 @@
   };
 }
 
-function order(
+function atMostOnceKind(
   name: string,
   path: string,
-  { weight, repeat }: { weight: number; repeat: Repeat },
+  { weight, repeat }: { weight: number; repeat: RetryRule },
 ): RequestKind {
   return {
     name,
--- a/packages/standins/src/caller/results.ts
+++ b/packages/standins/src/caller/results.ts
@@ -1,57 +1,57 @@
 /**
- * What callers got, counted by themselves.
+ * Results of requests, as counted by the callers.
  *
  * @module
  */
 
 import { build, type Histogram } from "hdr-histogram-js";
 
-/** How a request ended for its caller, after every fallback and repeat. */
+/** Outcome of a request for its caller, after all fallbacks and retries. */
 export type Outcome =
   | "served"
-  /** Refused and said to be not run. */
+  /** Refused, and reported as not run. */
   | "refused-not-run"
-  /** Refused without a word on whether it ran. */
+  /** Refused without stating whether it ran. */
   | "refused"
-  /** It may have run; the caller was told so, or its connection broke. */
+  /** It may have run: the refusal said so, the connection broke or the response was wrong. */
   | "unknown"
-  /** No entry VM took a connection; nothing was sent. */
+  /** No entry VM accepted a connection; nothing was sent. */
   | "unreachable";
 
-/** Counts and attempts of all requests so far. */
+/** Counts of all requests so far, and names of attempts and keys. */
 export interface ResultsReport {
   readonly requests: number;
   /** Requests by outcome. */
   readonly outcomes: Readonly<Partial<Record<Outcome, number>>>;
   /** Requests served, by kind. */
   readonly servedByKind: Readonly<Record<string, number>>;
-  /** Answers by status, refusals by reason and outcome; attempts counted singly. */
+  /** Attempts that got a response: `200`, or the refusal's reason and outcome. */
   readonly statuses: Readonly<Record<string, number>>;
-  /** Whole for the protocol, yet shorter than the answer is. */
+  /** Responses that are complete in HTTP but whose body is truncated. */
   readonly partialAnswers: number;
-  /** Whole, but not the answer to this request. */
+  /** Responses with the body of another request. */
   readonly wrongAnswers: number;
   /** Connections that broke after a request was sent on them, by VM address. */
   readonly brokenByVm: Readonly<Record<string, number>>;
-  /** Connections that a VM did not take, by its address. */
+  /** Connections that were not accepted, by VM address. */
   readonly notTakenByVm: Readonly<Record<string, number>>;
-  /** Requests that were sent again after an unknown outcome, and what became of them. */
+  /** Retries after an unknown outcome, and requests served by such a retry. */
   readonly repeats: { readonly sent: number; readonly served: number };
   readonly lookups: number;
-  /** Attempts that were refused as not run. */
+  /** Names of the attempts refused as not run. */
   readonly notRunAttempts: readonly string[];
-  /** Keys that were served. */
+  /** Idempotency keys of the requests served. */
   readonly servedKeys: readonly string[];
-  /** Keys refused as not run by the last attempt although an earlier one had an unknown outcome. */
+  /** Requests whose last attempt was refused as not run after an earlier one had an unknown outcome. */
   readonly notRunAfterUnknown: number;
-  /** Time until served, over all repeats, in milliseconds. */
+  /** Time until served, including all retries. */
   readonly latencyMs: { readonly p50: number; readonly p99: number };
 }
 
-/** Longest latency that is told apart, in milliseconds. */
-const HIGHEST_LATENCY_MS = 120_000;
+/** Longest latency that the histogram can record. */
+const MAX_LATENCY_MS = 120_000;
 
-/** Collects what callers got. */
+/** Collects the results of requests. */
 export class Results {
   requests = 0;
   partialAnswers = 0;
@@ -68,7 +68,7 @@
   readonly notRunAttempts: string[] = [];
   readonly servedKeys: string[] = [];
   readonly latency: Histogram = build({
-    highestTrackableValue: HIGHEST_LATENCY_MS,
+    highestTrackableValue: MAX_LATENCY_MS,
     numberOfSignificantValueDigits: 2,
     useWebAssembly: false,
   });
@@ -96,7 +96,7 @@
   }
 }
 
-/** Adds one to a count by name. */
+/** Adds one to the count of a name. */
 export function increment<Name extends string>(
   counts: Partial<Record<Name, number>>,
   name: Name,
--- a/packages/standins/src/cluster/call.ts
+++ b/packages/standins/src/cluster/call.ts
@@ -1,12 +1,12 @@
 /**
- * Calls to stand-ins: JSON over HTTP.
+ * Calls to stand-in processes with JSON over HTTP.
  *
  * @module
  */
 
 import { request } from "undici";
 
-/** Calls a stand-in; throws where it doesn't answer with 200. */
+/** Calls a stand-in and returns the response body; throws unless the status is 200. */
 export async function call(
   url: string,
   method: "GET" | "PUT" | "POST" | "DELETE",
@@ -16,9 +16,9 @@
     method,
     body: body === undefined ? null : JSON.stringify(body),
   });
-  const answer = await res.body.json();
+  const responseBody = await res.body.json();
   if (res.statusCode !== 200) {
     throw new Error(`Cannot call ${url}: status ${res.statusCode}`);
   }
-  return answer;
+  return responseBody;
 }
--- a/packages/standins/src/cluster/cluster.ts
+++ b/packages/standins/src/cluster/cluster.ts
@@ -1,6 +1,6 @@
 /**
  * A deployment as separate processes on loopback addresses: the platform, the
- * relay between the VMs, the targets (one process a region) and the daemons.
+ * TCP relay between the VMs, the targets (one process per region) and the daemons.
  *
  * @module
  */
@@ -14,36 +14,40 @@
 import { Caller } from "../caller/caller.ts";
 import { addressAt } from "../delays.ts";
 import type { Faults, PlatformCounts } from "../platform/faults.ts";
-import { type DeploymentName, PRESETS, shippedPreset } from "../presets.ts";
-import type { Cut } from "../relay/relay.ts";
-import type { RunsReport } from "../target/runs.ts";
+import {
+  type DeploymentName,
+  PRESET_NAMES,
+  readShippedPreset,
+} from "../presets.ts";
+import type { Partition } from "../relay/relay.ts";
+import type { RunsReport } from "../target/run_counter.ts";
 import type { TargetCounts, TargetSwitches } from "../target/switches.ts";
 import { call } from "./call.ts";
 import {
-  CALLERS_NUMBER,
-  DELAYS,
-  type LaidVm,
+  CALLER_HOST_NUMBER,
+  createLayout,
+  DELAYS_BY_DEPLOYMENT,
   type Layout,
-  layOut,
+  type VmLayout,
 } from "./layout.ts";
-import { makeChange, putFirstInForce } from "./operate.ts";
-import { findPorts, type Ports } from "./ports.ts";
-import { Processes, type Started } from "./processes.ts";
+import { makeChange, writeFirstPreset } from "./operator_changes.ts";
+import { findFreePorts, type Ports } from "./ports.ts";
+import { Processes, type StartedProcess } from "./processes.ts";
 import { daemonScript, standInScript } from "./scripts.ts";
 import { waitFor } from "./wait.ts";
 
-/** What to start. */
+/** Options of a {@link Cluster}. */
 export interface ClusterOptions {
   readonly deployment: DeploymentName;
-  /** Number of entry VMs; 9 as in the deployments. */
+  /** Number of entry VMs; 9 by default, as in the deployments. */
   readonly vms?: number;
-  /** Most targets of one service in one region; all without it. */
-  readonly targetsPerRegion?: number;
-  /** Changes the preset that is in force at the start, for a test of its own. */
-  readonly adapt?: (preset: Preset) => Preset;
+  /** Largest number of targets per service and region; unlimited by default. */
+  readonly maxTargetsPerRegion?: number;
+  /** Returns a modified copy of the preset that is initially in force. */
+  readonly adaptPreset?: (preset: Preset) => Preset;
 }
 
-/** Token of the operators who drive a cluster; secrets of nothing but the demo. */
+/** Tokens of the operators of a cluster; used only for tests and demos. */
 export const OPERATOR_TOKENS = {
   anna: "demo-token-of-anna",
   boris: "demo-token-of-boris",
@@ -61,11 +65,11 @@
   readonly dir: string;
   readonly #processes: Processes;
   readonly #ports: Ports;
-  readonly #vms = new Map<string, Started>();
-  /** Administration listeners of the targets' processes, by region. */
-  readonly #targets = new Map<string, string>();
+  readonly #daemons = new Map<string, StartedProcess>();
+  /** Administration URLs of the target processes, by region. */
+  readonly #targetAdminUrls = new Map<string, string>();
   readonly #operators = new Map<string, OperatorClient>();
-  #relay = "";
+  #relayAdminUrl = "";
 
   private constructor(
     parts: { layout: Layout; ports: Ports; processes: Processes; dir: string },
@@ -76,27 +80,27 @@
     this.#processes = parts.processes;
   }
 
-  /** Starts everything; settles when each daemon is ready. Ends it all where one fails. */
+  /** Starts all processes and waits until each daemon is ready; stops them all if one fails. */
   static async start(options: ClusterOptions): Promise<Cluster> {
-    const ports = await findPorts();
-    const delays = DELAYS[options.deployment];
-    const shipped = shippedPreset(options.deployment, "ordinary");
-    const preset = options.adapt?.(shipped) ?? shipped;
-    const layout = layOut({
+    const ports = await findFreePorts();
+    const delays = DELAYS_BY_DEPLOYMENT[options.deployment];
+    const shipped = readShippedPreset(options.deployment, "ordinary");
+    const preset = options.adaptPreset?.(shipped) ?? shipped;
+    const layout = createLayout({
       preset,
       delays,
       ports,
       vms: options.vms ?? 9,
-      targetsPerRegion: options.targetsPerRegion ?? Infinity,
+      maxTargetsPerRegion: options.maxTargetsPerRegion ?? Infinity,
     });
     const dir = mkdtempSync(join(tmpdir(), "poplarthread-"));
     const processes = new Processes();
     const cluster = new Cluster({ layout, ports, processes, dir });
     try {
       await cluster.#startStandIns(options.deployment);
-      await cluster.#fillList();
-      layout.vms.forEach((vm) => cluster.#spawn(vm));
-      await cluster.#putInForce(options.deployment, preset);
+      await cluster.#prepareForDaemons();
+      layout.vms.forEach((vm) => cluster.#startDaemon(vm));
+      await cluster.#writePresets(options.deployment, preset);
       await Promise.all(layout.vms.map((vm) => cluster.#waitUntilReady(vm.id)));
     } catch (err) {
       await cluster.stop({ keepLogs: true });
@@ -105,7 +109,7 @@
     return cluster;
   }
 
-  /** Ends all processes; keeps the logs of a run that went wrong. */
+  /** Stops all processes; deletes settings and logs unless `keepLogs` is true. */
   async stop(options: { keepLogs?: boolean } = {}): Promise<void> {
     await Promise.all([...this.#operators.values()].map((op) => op.close()));
     await this.#processes.stop();
@@ -114,14 +118,14 @@
     }
   }
 
-  /** Starts the daemon of a VM again after its end; settles when it is ready. */
+  /** Restarts the daemon of a VM after it has exited, and waits until it is ready. */
   async startVm(id: string): Promise<void> {
-    await this.list(id, "live");
-    this.#spawn(this.vm(id));
+    await this.registerVm(id, "live");
+    this.#startDaemon(this.vm(id));
     await this.#waitUntilReady(id);
   }
 
-  #spawn(vm: LaidVm): void {
+  #startDaemon(vm: VmLayout): void {
     const file = join(this.dir, `${vm.id}.json`);
     writeFileSync(file, JSON.stringify(this.#settings(vm), undefined, 2));
     const started = this.#processes.start({
@@ -130,7 +134,7 @@
       args: ["--settings", file],
       log: join(this.dir, `${vm.id}.log`),
     });
-    this.#vms.set(vm.id, started);
+    this.#daemons.set(vm.id, started);
   }
 
   async #waitUntilReady(id: string): Promise<void> {
@@ -141,60 +145,64 @@
     });
   }
 
-  vm(id: string): LaidVm {
+  vm(id: string): VmLayout {
     return this.layout.vms.find((vm) => vm.id === id)!;
   }
 
-  /** The process of a VM's daemon. */
-  process(id: string): Started {
-    return this.#vms.get(id)!;
+  /** Returns the daemon process of a VM. */
+  daemon(id: string): StartedProcess {
+    return this.#daemons.get(id)!;
   }
 
-  /** Address of a VM's listener for callers. */
+  /** Returns the address of a VM's listener for callers. */
   callerAddress(id: string): string {
     return `${this.vm(id).host}:${this.#ports.caller}`;
   }
 
-  /** Base address of a VM's operator listener. */
+  /** Returns the base URL of a VM's operator listener. */
   operatorUrl(id: string): string {
     return `http://${this.vm(id).host}:${this.#ports.operator}`;
   }
 
-  /** A client of a VM's operator listener. */
-  operator(id: string, who: OperatorName = "anna"): OperatorClient {
-    const name = `${id} ${who}`;
-    const known = this.#operators.get(name);
-    if (known !== undefined) {
-      return known;
+  /** Returns a client for a VM's operator listener. */
+  operator(id: string, operatorName: OperatorName = "anna"): OperatorClient {
+    const name = `${id} ${operatorName}`;
+    const existing = this.#operators.get(name);
+    if (existing !== undefined) {
+      return existing;
     }
     const client = new OperatorClient({
       url: this.operatorUrl(id),
-      token: OPERATOR_TOKENS[who],
+      token: OPERATOR_TOKENS[operatorName],
       timeoutMs: OPERATOR_TIMEOUT_MS,
     });
     this.#operators.set(name, client);
     return client;
   }
 
-  /** Callers in the place of a VM, who know the given VMs from the start. */
-  callers(name: string, vmId: string, bootstrap: readonly string[]): Caller {
+  /** Creates callers at the location of VM `vmId`; `bootstrap` lists the VMs for their first look-up. */
+  createCaller(
+    name: string,
+    vmId: string,
+    bootstrap: readonly string[],
+  ): Caller {
     return new Caller(this.callerOptions(name, vmId, bootstrap));
   }
 
   callerOptions(name: string, vmId: string, bootstrap: readonly string[]) {
     return {
       name,
-      localAddress: addressAt(this.vm(vmId).place, CALLERS_NUMBER),
+      localAddress: addressAt(this.vm(vmId).location, CALLER_HOST_NUMBER),
       bootstrap: bootstrap.map((id) => this.callerAddress(id)),
     };
   }
 
-  /** Sets the platform's switches; those not named stay as they are. */
-  async platformFaults(faults: Partial<Faults>): Promise<void> {
+  /** Sets the given faults of the platform and leaves the others unchanged. */
+  async setPlatformFaults(faults: Partial<Faults>): Promise<void> {
     await call(`${this.platformUrl}/faults`, "PUT", faults);
   }
 
-  async platformCounts(): Promise<PlatformCounts> {
+  async readPlatformCounts(): Promise<PlatformCounts> {
     return await call(`${this.platformUrl}/counts`, "GET") as PlatformCounts;
   }
 
@@ -202,39 +210,39 @@
     return `http://127.0.0.1:${this.#ports.platform}`;
   }
 
-  /** Replaces the cuts between VMs; none heals all. */
-  async cut(cuts: readonly Cut[]): Promise<void> {
-    await call(`${this.#relay}/cut`, "POST", cuts);
+  /** Replaces all network partitions between VMs; an empty list heals them. */
+  async setPartitions(partitions: readonly Partition[]): Promise<void> {
+    await call(`${this.#relayAdminUrl}/cut`, "POST", partitions);
   }
 
-  /** Sets a target's switches. */
-  async setTarget(
+  /** Sets the given switches of a target and leaves the others unchanged. */
+  async setTargetSwitches(
     target: string,
     switches: Partial<TargetSwitches>,
   ): Promise<void> {
-    const admin = this.#adminOf(target);
-    await call(`${admin}/set`, "POST", { target, switches });
+    const adminUrl = this.#targetAdminUrl(target);
+    await call(`${adminUrl}/set`, "POST", { target, switches });
   }
 
-  /** Counts every run on a target that begins later than `afterMs` from now. */
-  async expectQuiet(target: string, afterMs: number): Promise<void> {
-    const admin = this.#adminOf(target);
-    await call(`${admin}/quiet`, "POST", { target, afterMs });
+  /** Makes a target count each run that begins more than `afterMs` from now in `runsWhileQuiet`. */
+  async expectNoRuns(target: string, afterMs: number): Promise<void> {
+    const adminUrl = this.#targetAdminUrl(target);
+    await call(`${adminUrl}/quiet`, "POST", { target, afterMs });
   }
 
-  /** What each target counted. */
-  async targetCounts(): Promise<Readonly<Record<string, TargetCounts>>> {
-    const parts = await this.#askTargets("counts");
+  /** Returns the counts of each target by its id. */
+  async readTargetCounts(): Promise<Readonly<Record<string, TargetCounts>>> {
+    const parts = await this.#callTargets("counts");
     return Object.assign({}, ...parts);
   }
 
-  /** What ran, in the processes of all targets. */
-  async runs(): Promise<readonly RunsReport[]> {
-    return await this.#askTargets("runs") as RunsReport[];
+  /** Returns the run counts of each target process. */
+  async readRuns(): Promise<readonly RunsReport[]> {
+    return await this.#callTargets("runs") as RunsReport[];
   }
 
-  /** Puts a VM into the platform's list, or changes its state there. */
-  async list(id: string, state: "live" | "leaving"): Promise<void> {
+  /** Adds a VM to the platform's VM list, or updates its state there. */
+  async registerVm(id: string, state: "live" | "leaving"): Promise<void> {
     const vm = this.vm(id);
     await call(`${this.platformUrl}/vms/${id}`, "PUT", {
       id,
@@ -247,34 +255,34 @@
     });
   }
 
-  /** Takes a VM out of the platform's list. */
-  async unlist(id: string): Promise<void> {
+  /** Removes a VM from the platform's VM list. */
+  async unregisterVm(id: string): Promise<void> {
     await call(`${this.platformUrl}/vms/${id}`, "DELETE");
   }
 
-  /** Starts a process of callers; answers its administration listener. */
+  /** Starts a process of callers and returns its administration URL. */
   async startCallers(options: unknown): Promise<string> {
     return await this.#startStandIn("caller/caller_main.js", options);
   }
 
-  async #askTargets(operation: string): Promise<readonly unknown[]> {
+  async #callTargets(operation: string): Promise<readonly unknown[]> {
     return await Promise.all(
-      [...this.#targets.values()].map((admin) =>
-        call(`${admin}/${operation}`, "POST", {})
+      [...this.#targetAdminUrls.values()].map((adminUrl) =>
+        call(`${adminUrl}/${operation}`, "POST", {})
       ),
     );
   }
 
-  #adminOf(target: string): string {
+  #targetAdminUrl(target: string): string {
     const { region } = this.layout.targets.find(({ options }) =>
       options.id === target
     )!;
-    return this.#targets.get(region)!;
+    return this.#targetAdminUrls.get(region)!;
   }
 
   async #startStandIns(deployment: DeploymentName): Promise<void> {
     const { platform, peer, peerRelay } = this.#ports;
-    const delays = DELAYS[deployment];
+    const delays = DELAYS_BY_DEPLOYMENT[deployment];
     const regions = new Set(this.layout.targets.map(({ region }) => region));
     const relayed = this.layout.vms.map(({ host }) => ({
       host,
@@ -287,7 +295,7 @@
         port: platform,
       }),
       this.#startStandIn("relay/relay_main.js", { relayed, delays })
-        .then((admin) => this.#relay = admin),
+        .then((adminUrl) => this.#relayAdminUrl = adminUrl),
       ...[...regions].map((region) => this.#startTargets(region)),
     ]);
   }
@@ -296,10 +304,10 @@
     const targets = this.layout.targets
       .filter((target) => target.region === region)
       .map(({ options }) => options);
-    const admin = await this.#startStandIn("target/target_main.js", {
+    const adminUrl = await this.#startStandIn("target/target_main.js", {
       targets,
     });
-    this.#targets.set(region, admin);
+    this.#targetAdminUrls.set(region, adminUrl);
   }
 
   async #startStandIn(script: string, options: unknown): Promise<string> {
@@ -311,12 +319,15 @@
     return (JSON.parse(await firstLine) as ReadyLine).admin;
   }
 
-  /** The first preset, and the others to switch to, as an operator makes them. */
-  async #putInForce(deployment: DeploymentName, preset: Preset): Promise<void> {
+  /** Puts the first preset in force as an operator, and stores the others for later switches. */
+  async #writePresets(
+    deployment: DeploymentName,
+    preset: Preset,
+  ): Promise<void> {
     const operator = this.operator(this.layout.vms[0]!.id);
-    await putFirstInForce(operator, preset);
-    const others = PRESETS.filter((name) => name !== preset.id)
-      .map((name) => shippedPreset(deployment, name));
+    await writeFirstPreset(operator, preset);
+    const others = PRESET_NAMES.filter((name) => name !== preset.id)
+      .map((name) => readShippedPreset(deployment, name));
     for (const other of others) {
       await makeChange(operator, {
         change: { kind: "edit", preset: other },
@@ -325,8 +336,8 @@
     }
   }
 
-  /** What the platform lists and the daemons read before the first of them starts. */
-  async #fillList(): Promise<void> {
+  /** Fills the platform's VM list and writes the token files that the daemons read. */
+  async #prepareForDaemons(): Promise<void> {
     await Promise.all(
       this.layout.targets.map((target) =>
         call(`${this.platformUrl}/vms/${target.options.id}`, "PUT", {
@@ -340,7 +351,9 @@
         })
       ),
     );
-    await Promise.all(this.layout.vms.map(({ id }) => this.list(id, "live")));
+    await Promise.all(
+      this.layout.vms.map(({ id }) => this.registerVm(id, "live")),
+    );
     writeFileSync(join(this.dir, "anna.token"), `${OPERATOR_TOKENS.anna}\n`);
     writeFileSync(
       join(this.dir, "operators.json"),
@@ -349,7 +362,7 @@
     writeFileSync(join(this.dir, "peer.token"), `${PEER_TOKEN}\n`);
   }
 
-  #settings(vm: LaidVm): unknown {
+  #settings(vm: VmLayout): unknown {
     const { host } = vm;
     return {
       vm: vm.id,
--- a/packages/standins/src/cluster/layout.ts
+++ b/packages/standins/src/cluster/layout.ts
@@ -1,120 +1,122 @@
 /**
- * Where everything of a deployment stands: VMs and targets with their places
- * and loopback addresses, from its preset.
+ * The layout of a deployment: its VMs and targets with their locations and
+ * loopback addresses, derived from a preset.
  *
  * @module
  */
 
 import type { Preset } from "@poplarthread/config";
-import { addressAt, type Delays, type Place } from "../delays.ts";
+import { addressAt, type Delays, type Location } from "../delays.ts";
 import type { DeploymentName } from "../presets.ts";
 import type { TargetOptions } from "../target/switches.ts";
 import type { Ports } from "./ports.ts";
 
-/** One-way delays of each deployment, as its users measured them. */
-export const DELAYS: Readonly<Record<DeploymentName, Delays>> = {
+/** One-way delays in the users' networks, by deployment. */
+export const DELAYS_BY_DEPLOYMENT: Readonly<Record<DeploymentName, Delays>> = {
   hlasovka: { betweenZonesMs: 1.5, betweenRegionsMs: 55 },
   kinolenta: { betweenZonesMs: 1, betweenRegionsMs: 20 },
 };
 
 /** An entry VM of the layout. */
-export interface LaidVm {
+export interface VmLayout {
   readonly id: string;
-  readonly place: Place;
+  readonly location: Location;
   readonly region: string;
   readonly zone: string;
   readonly host: string;
 }
 
 /** A target of the layout. */
-export interface LaidTarget {
+export interface TargetLayout {
   readonly service: string;
   readonly region: string;
   readonly zone: string;
   readonly options: TargetOptions;
 }
 
-/** What stands where. */
+/** The VMs and targets of a deployment. */
 export interface Layout {
-  readonly vms: readonly LaidVm[];
-  readonly targets: readonly LaidTarget[];
+  readonly vms: readonly VmLayout[];
+  readonly targets: readonly TargetLayout[];
 }
 
-/** What the layout is made from. */
+/** Options of {@link createLayout}. */
 export interface LayoutOptions {
   readonly preset: Preset;
   readonly delays: Delays;
   readonly ports: Ports;
-  /** Number of entry VMs, spread over the regions in turn. */
+  /** Number of entry VMs, assigned to the regions round-robin. */
   readonly vms: number;
-  /** Most targets of one service in one region. */
-  readonly targetsPerRegion: number;
+  /** Largest number of targets per service and region. */
+  readonly maxTargetsPerRegion: number;
 }
 
-/** Last part of the address of the first VM, and of the first target, in a zone. */
-const FIRST_VM = 11;
-const FIRST_TARGET = 101;
-/** Last part of the address that callers in a zone connect from. */
-export const CALLERS_NUMBER = 201;
-/** Time that work takes where the request doesn't say, in milliseconds. */
-const WORK_MS = 30;
-/** How long a target that has started is cold; short, so that a demo sees the end of it. */
-const COLD_MS = 3_000;
+/** Last byte of the first VM's address; further VMs of the region count up. */
+const FIRST_VM_HOST_NUMBER = 11;
+/** Last byte of the address of the first target in a zone. */
+const FIRST_TARGET_HOST_NUMBER = 101;
+/** Last byte of the address that callers in a zone connect from. */
+export const CALLER_HOST_NUMBER = 201;
+/** Duration of work if the request does not specify it. */
+const DEFAULT_WORK_MS = 30;
+/** Time that a target is cold after its start; short enough to end within a demo. */
+const COLD_PERIOD_MS = 3_000;
 
-/** Lays a deployment out. */
-export function layOut(options: LayoutOptions): Layout {
+/** Assigns locations and addresses to the VMs and targets of a deployment. */
+export function createLayout(options: LayoutOptions): Layout {
   const vms = Array.from(
     { length: options.vms },
-    (_, index) => layVm(options.preset, index),
+    (_, index) => layOutVm(options.preset, index),
   );
   const targets = options.preset.regions.flatMap((_, index) =>
-    layTargets(options, index)
+    layOutTargets(options, index)
   );
   return { vms, targets };
 }
 
-function layVm(preset: Preset, index: number): LaidVm {
+function layOutVm(preset: Preset, index: number): VmLayout {
   const regions = preset.regions;
   const regionIndex = index % regions.length;
-  const inRegion = Math.floor(index / regions.length);
+  const indexInRegion = Math.floor(index / regions.length);
   const { id: region, zones } = regions[regionIndex]!;
-  const zoneIndex = inRegion % zones.length;
-  const place = { region: regionIndex + 1, zone: zoneIndex + 1 };
+  const zoneIndex = indexInRegion % zones.length;
+  const location = { region: regionIndex + 1, zone: zoneIndex + 1 };
   return {
-    id: `entry-${region}-${inRegion + 1}`,
-    place,
+    id: `entry-${region}-${indexInRegion + 1}`,
+    location,
     region,
     zone: zones[zoneIndex]!,
-    host: addressAt(place, FIRST_VM + inRegion),
+    host: addressAt(location, FIRST_VM_HOST_NUMBER + indexInRegion),
   };
 }
 
-function layTargets(
+function layOutTargets(
   options: LayoutOptions,
   regionIndex: number,
-): readonly LaidTarget[] {
+): readonly TargetLayout[] {
   const { id: region, zones } = options.preset.regions[regionIndex]!;
-  let inRegion = 0;
+  let indexInRegion = 0;
   return options.preset.services.flatMap((service) => {
-    const wanted = service.targets[region] ?? 0;
-    const count = Math.min(wanted, options.targetsPerRegion);
-    return Array.from({ length: count }, (_, index): LaidTarget => {
-      const zoneIndex = inRegion % zones.length;
-      const place = { region: regionIndex + 1, zone: zoneIndex + 1 };
-      const number = FIRST_TARGET + Math.floor(inRegion / zones.length);
-      inRegion += 1;
+    const configured = service.targets[region] ?? 0;
+    const count = Math.min(configured, options.maxTargetsPerRegion);
+    return Array.from({ length: count }, (_, index): TargetLayout => {
+      const zoneIndex = indexInRegion % zones.length;
+      const location = { region: regionIndex + 1, zone: zoneIndex + 1 };
+      const number = FIRST_TARGET_HOST_NUMBER +
+        Math.floor(indexInRegion / zones.length);
+      indexInRegion += 1;
       return {
         service: service.id,
         region,
         zone: zones[zoneIndex]!,
         options: {
           id: `${service.id}-${region}-${index + 1}`,
-          host: addressAt(place, number),
+          host: addressAt(location, number),
           port: options.ports.target,
           slots: service.slotsPerTarget,
           connections: service.connectionsPerTarget,
-          workMs: WORK_MS,
-          coldMs: COLD_MS,
+          workMs: DEFAULT_WORK_MS,
+          coldMs: COLD_PERIOD_MS,
           delays: options.delays,
         },
       };
--- a/packages/standins/src/cluster/ports.ts
+++ b/packages/standins/src/cluster/ports.ts
@@ -1,38 +1,39 @@
 /**
- * Ports that nobody else uses, for a cluster on loopback addresses.
+ * Finds free ports for a cluster on loopback addresses.
  *
  * @module
  */
 
 import { createServer } from "node:net";
 
-/** The ports of a cluster; each VM and target has an address of its own. */
+/** The ports of a cluster. VMs share port numbers, as do targets, since each has its own address. */
 export interface Ports {
   readonly platform: number;
   readonly caller: number;
   readonly operator: number;
   readonly peer: number;
-  /** The relay before the peers' listener; this one is in the VM list. */
+  /** The TCP relay in front of the peer listener; the VM list contains this port. */
   readonly peerRelay: number;
   readonly target: number;
 }
 
-/** Below the range from which the system takes ports for outgoing connections. */
-const LOWEST = 12_000;
-const HIGHEST = 31_000;
-const STEP = 10;
-const TRIES = 50;
-/** Addresses that are tried: the platform's, and the first VM's. */
-const TRIED = ["127.0.0.1", "127.1.1.11"];
+/** Lowest port; the range lies below the system's range for outgoing connections. */
+const MIN_PORT = 12_000;
+const MAX_PORT = 31_000;
+const PORT_RANGE_STEP = 10;
+const MAX_TRIES = 50;
+/** Addresses on which ports must be free: the platform's and the first VM's. */
+const PROBED_HOSTS = ["127.0.0.1", "127.1.1.11"];
 
-/** Finds a free range; two clusters that start at once may still collide, and fail to start. */
-export async function findPorts(): Promise<Ports> {
-  for (let n = 0; n < TRIES; n++) {
-    const steps = Math.floor((HIGHEST - LOWEST) / STEP);
-    const base = LOWEST + STEP * Math.floor(Math.random() * steps);
+/** Finds free ports. Two clusters that start at the same time may still collide; then one fails to start. */
+export async function findFreePorts(): Promise<Ports> {
+  for (let n = 0; n < MAX_TRIES; n++) {
+    const rangeCount = Math.floor((MAX_PORT - MIN_PORT) / PORT_RANGE_STEP);
+    const base = MIN_PORT +
+      PORT_RANGE_STEP * Math.floor(Math.random() * rangeCount);
     const ports = Array.from({ length: 6 }, (_, index) => base + index);
     const free = await Promise.all(
-      ports.flatMap((port) => TRIED.map((host) => isFree(host, port))),
+      ports.flatMap((port) => PROBED_HOSTS.map((host) => isFree(host, port))),
     );
     if (free.every(Boolean)) {
       return {
@@ -45,7 +46,7 @@
       };
     }
   }
-  throw new Error(`Cannot find free ports: none in ${TRIES} tries`);
+  throw new Error(`Cannot find free ports: none in ${MAX_TRIES} tries`);
 }
 
 function isFree(host: string, port: number): Promise<boolean> {
--- a/packages/standins/src/cluster/processes.ts
+++ b/packages/standins/src/cluster/processes.ts
@@ -1,5 +1,5 @@
 /**
- * Processes that a demo or a test starts, and their certain end.
+ * Starts the processes of a demo or test, and makes sure that they end.
  *
  * @module
  */
@@ -8,46 +8,46 @@
 import { closeSync, openSync } from "node:fs";
 import process from "node:process";
 
-/** How a process ended. */
-export interface Exit {
+/** Exit code or signal of a process. */
+export interface ExitStatus {
   readonly code: number | null;
   readonly signal: string | null;
 }
 
-/** What to start. */
+/** Options of a process. */
 export interface ProcessOptions {
   readonly name: string;
-  /** File of the script that Node.js runs. */
+  /** Path of the script that Node.js runs. */
   readonly script: string;
   readonly args: readonly string[];
-  /** File that takes standard error; without it, it goes to this process's own. */
+  /** Path of the file for standard error; by default, standard error of this process. */
   readonly log?: string;
-  /** Options of Node.js itself. */
+  /** Options of Node.js. */
   readonly nodeOptions?: readonly string[];
-  /** Longest wait for the first line; {@link READY_TIMEOUT_MS} without it. */
+  /** Longest wait for the first line; {@link READY_TIMEOUT_MS} by default. */
   readonly readyTimeoutMs?: number;
 }
 
 /** A process that was started. */
-export interface Started {
+export interface StartedProcess {
   readonly name: string;
   readonly pid: number;
-  /** Settles with its first line on standard output; rejects where none comes in time. */
+  /** First line on standard output; rejects if there is none within the time-out. */
   readonly firstLine: Promise<string>;
-  readonly exited: Promise<Exit>;
-  /** Sends a signal; does nothing to a process that has ended. */
+  readonly exited: Promise<ExitStatus>;
+  /** Sends a signal; has no effect once the process has exited. */
   signal(signal: NodeJS.Signals): void;
 }
 
-/** Longest start of a process on a busy machine. */
+/** Longest start of a process, on a busy machine. */
 const READY_TIMEOUT_MS = 30_000;
 
-/** A process did not get ready. */
+/** Thrown when a process does not become ready. */
 export class StartError extends Error {
   override readonly name = "StartError";
 }
 
-/** Starts processes and ends them all, whatever happens to this one. */
+/** Starts processes, and kills them at the latest when this process exits. */
 export class Processes {
   readonly #children = new Set<ChildProcess>();
   readonly #onExit = () => this.#killAll();
@@ -56,12 +56,11 @@
     process.once("exit", this.#onExit);
   }
 
-  /** Starts a process. */
-  start(options: ProcessOptions): Started {
+  start(options: ProcessOptions): StartedProcess {
     const log = options.log === undefined
       ? "inherit"
       : openSync(options.log, "a");
-    // Stand-ins end when their standard input does, so the pipe stays open.
+    // Stand-ins exit when their standard input ends, so it is a pipe that stays open.
     const args = [
       ...options.nodeOptions ?? [],
       options.script,
@@ -74,14 +73,14 @@
       closeSync(log);
     }
     this.#children.add(child);
-    const exited = new Promise<Exit>((resolve) => {
+    const exited = new Promise<ExitStatus>((resolve) => {
       child.once("exit", (code, signal) => {
         this.#children.delete(child);
         resolve({ code, signal });
       });
     });
-    const line = firstLine(options, { child, exited });
-    // Whoever wants the line waits for it; nobody else should hear of its failure.
+    const line = readFirstLine(options, { child, exited });
+    // Prevents an unhandled rejection if nobody awaits the line.
     line.catch(() => undefined);
     return {
       name: options.name,
@@ -92,13 +91,13 @@
     };
   }
 
-  /** Ends every process that is left, also frozen ones. */
+  /** Kills all processes that still run, also stopped ones, and waits for their exit. */
   async stop(): Promise<void> {
-    const ends = [...this.#children].map((child) =>
+    const exits = [...this.#children].map((child) =>
       new Promise((resolve) => child.once("exit", resolve))
     );
     this.#killAll();
-    await Promise.all(ends);
+    await Promise.all(exits);
     process.off("exit", this.#onExit);
   }
 
@@ -107,9 +106,9 @@
   }
 }
 
-async function firstLine(
+async function readFirstLine(
   { name, readyTimeoutMs = READY_TIMEOUT_MS }: ProcessOptions,
-  { child, exited }: { child: ChildProcess; exited: Promise<Exit> },
+  { child, exited }: { child: ChildProcess; exited: Promise<ExitStatus> },
 ): Promise<string> {
   let text = "";
   let timer: NodeJS.Timeout | undefined;
@@ -125,11 +124,13 @@
   });
   const timeout = new Promise<never>((_, reject) => {
     timer = setTimeout(() => {
-      reject(new StartError(`Cannot start ${name}: not ready in time`));
+      reject(
+        new StartError(`Cannot start ${name}: not ready before the time-out`),
+      );
     }, readyTimeoutMs);
   });
   const failed = exited.then(({ code, signal }) => {
-    throw new StartError(`Cannot start ${name}: ended with ${code ?? signal}`);
+    throw new StartError(`Cannot start ${name}: exited with ${code ?? signal}`);
   });
   try {
     return await Promise.race([line, timeout, failed]);
--- a/packages/standins/src/cluster/scripts.ts
+++ b/packages/standins/src/cluster/scripts.ts
@@ -1,22 +1,22 @@
 /**
- * Files of the scripts that processes run. They come from the build, also
- * where this module runs from its source.
+ * Paths of the scripts that processes run. They are always in the build output,
+ * even if this module runs from source.
  *
  * @module
  */
 
 import { fileURLToPath } from "node:url";
 
-/** The daemon. */
+/** Returns the path of the daemon's script. */
 export function daemonScript(): string {
-  return fileOf("../../../daemon/bin/poplarthreadd.js");
+  return resolvePath("../../../daemon/bin/poplarthreadd.js");
 }
 
-/** A stand-in, for example `platform/platform_main.js`. */
+/** Returns the path of a stand-in's script, for example `platform/platform_main.js`. */
 export function standInScript(name: string): string {
-  return fileOf(`../../dist/${name}`);
+  return resolvePath(`../../dist/${name}`);
 }
 
-function fileOf(path: string): string {
+function resolvePath(path: string): string {
   return fileURLToPath(new URL(path, import.meta.url));
 }
--- a/packages/standins/src/cluster/ledger.ts
+++ b/packages/standins/src/cluster/violations.ts
@@ -1,39 +1,39 @@
 /**
- * Puts together what targets ran and what callers were told: the points that
- * must always hold, counted from both sides.
+ * Compares what targets ran with the responses that callers received, and counts
+ * violations of the guarantees to callers.
  *
  * @module
  */
 
-import { UNKEYED_SUFFIX } from "../caller/caller.ts";
+import { AT_MOST_ONCE_SUFFIX } from "../caller/caller.ts";
 import type { ResultsReport } from "../caller/results.ts";
-import type { RunsReport } from "../target/runs.ts";
+import type { RunsReport } from "../target/run_counter.ts";
 
-/** What must be zero. */
-export interface Ledger {
-  /** Requests that may run once and ran more often, with a key or without. */
+/** Numbers of violations; each must be 0. */
+export interface Violations {
+  /** At-most-once requests, with a key or without, that ran more than once. */
   readonly ranTwice: number;
-  /** Attempts that were refused as not run, yet ran. */
+  /** Attempts that were refused as not run, but did run. */
   readonly falseNotRun: number;
-  /** Answers that looked whole and were not. */
+  /** Responses that are complete in HTTP but whose body is truncated. */
   readonly partialAnswers: number;
-  /** Whole answers to something else. */
+  /** Responses with the body of another request. */
   readonly wrongAnswers: number;
-  /** Keys whose caller got an answer although nothing ran. */
+  /** Keys of requests that were served although no target ran them. */
   readonly servedNotRun: number;
 }
 
-/** Adds up runs and results. */
-export function reconcile(
+/** Counts violations from the reports of all target processes and all callers. */
+export function countViolations(
   runs: readonly RunsReport[],
   results: readonly ResultsReport[],
-): Ledger {
+): Violations {
   const keys = sumCounts(runs.map((report) => report.keys));
   const attempts = sumCounts(runs.map((report) => report.attempts));
   const notRun = results.flatMap((report) => report.notRunAttempts);
   const served = results.flatMap((report) => report.servedKeys);
   return {
-    ranTwice: [...keys, ...unkeyedOrders(attempts)]
+    ranTwice: [...keys, ...unkeyedAttempts(attempts)]
       .filter(([, count]) => count > 1).length,
     falseNotRun: notRun.filter((attempt) => attempts.has(attempt)).length,
     partialAnswers: sum(results.map((report) => report.partialAnswers)),
@@ -42,14 +42,14 @@
   };
 }
 
-/** An order without a key has no name but its only attempt's. */
-function unkeyedOrders(
+/** Returns the at-most-once requests without a key, each by the name of its only attempt. */
+function unkeyedAttempts(
   attempts: ReadonlyMap<string, number>,
 ): readonly [string, number][] {
-  return [...attempts].filter(([name]) => name.endsWith(UNKEYED_SUFFIX));
+  return [...attempts].filter(([name]) => name.endsWith(AT_MOST_ONCE_SUFFIX));
 }
 
-/** Adds counts by name. */
+/** Adds up the counts of each name. */
 export function sumCounts(
   parts: readonly Readonly<Record<string, number>>[],
 ): ReadonlyMap<string, number> {
@@ -62,7 +62,6 @@
   return total;
 }
 
-/** Adds numbers. */
 export function sum(values: readonly number[]): number {
   return values.reduce((total, value) => total + value, 0);
 }
--- a/packages/standins/src/cluster/wait.ts
+++ b/packages/standins/src/cluster/wait.ts
@@ -1,31 +1,31 @@
 /**
- * Waiting for something that another process does.
+ * Waits for a condition that another process brings about.
  *
  * @module
  */
 
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Far above what anything takes: a test's verdict must not depend on speed. */
+/** Much longer than any expected wait, so that no test result depends on the machine's speed. */
 const DEFAULT_TIMEOUT_MS = 30_000;
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** It did not happen in time. */
+/** Thrown when a condition is not met before the time-out. */
 export class WaitError extends Error {
   override readonly name = "WaitError";
 }
 
-/** Asks again and again until the answer is true; throws {@link WaitError} when time is up. */
+/** Polls until `condition` returns true; throws {@link WaitError} after `timeoutMs`. */
 export async function waitFor(
-  what: string,
-  ask: () => Promise<boolean>,
+  description: string,
+  condition: () => Promise<boolean>,
   timeoutMs: number = DEFAULT_TIMEOUT_MS,
 ): Promise<void> {
-  const until = performance.now() + timeoutMs;
-  while (!await ask()) {
-    if (performance.now() > until) {
-      throw new WaitError(`Cannot wait any longer for ${what}`);
+  const deadlineAt = performance.now() + timeoutMs;
+  while (!await condition()) {
+    if (performance.now() > deadlineAt) {
+      throw new WaitError(`Timed out while waiting for ${description}`);
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
--- a/packages/standins/src/delays.ts
+++ b/packages/standins/src/delays.ts
@@ -1,29 +1,29 @@
 /**
- * One-way delays between places, which the stand-ins impose: every VM and
- * target has a loopback address of its own that says where it is.
+ * One-way network delays that the stand-ins simulate between locations. Each VM
+ * and target has its own loopback address, which encodes its location.
  *
  * @module
  */
 
-/** A place: a region and an availability zone in it, numbered from 1. */
-export interface Place {
+/** A region and an availability zone in it, both numbered from 1. */
+export interface Location {
   readonly region: number;
   readonly zone: number;
 }
 
-/** One-way delays in milliseconds. */
+/** One-way delays between locations; there is none within a zone. */
 export interface Delays {
   readonly betweenZonesMs: number;
   readonly betweenRegionsMs: number;
 }
 
-/** The loopback address `127.REGION.ZONE.NUMBER`. */
-export function addressAt(place: Place, number: number): string {
-  return `127.${place.region}.${place.zone}.${number}`;
+/** Returns the loopback address `127.REGION.ZONE.NUMBER`. */
+export function addressAt(location: Location, number: number): string {
+  return `127.${location.region}.${location.zone}.${number}`;
 }
 
-/** The place of an address; undefined for one that is in no region, as 127.0.0.1. */
-export function placeOf(address: string | undefined): Place | undefined {
+/** Returns the location of an address; undefined if it has no region, such as 127.0.0.1. */
+export function locationOf(address: string | undefined): Location | undefined {
   const match = /(\d+)\.(\d+)\.(\d+)\.(\d+)$/.exec(address ?? "");
   if (match === null || match[1] !== "127" || match[2] === "0") {
     return undefined;
@@ -31,10 +31,10 @@
   return { region: Number(match[2]), zone: Number(match[3]) };
 }
 
-/** One-way delay between two places; none where one is unknown. */
-export function oneWayMs(
-  from: Place | undefined,
-  to: Place | undefined,
+/** Returns the one-way delay between two locations; 0 if either is unknown. */
+export function oneWayDelayMs(
+  from: Location | undefined,
+  to: Location | undefined,
   delays: Delays,
 ): number {
   if (from === undefined || to === undefined) {
--- a/packages/standins/src/http_json.ts
+++ b/packages/standins/src/http_json.ts
@@ -1,5 +1,5 @@
 /**
- * Reading and sending JSON over HTTP, for the stand-ins.
+ * Reads and sends JSON over HTTP, for the stand-ins.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { Buffer } from "node:buffer";
 
-/** Reads a whole body. */
+/** Reads a complete body. */
 export async function readBytes(req: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of req) {
@@ -16,13 +16,13 @@
   return Buffer.concat(chunks);
 }
 
-/** Reads a whole body as JSON; an empty body reads as null. */
+/** Reads a complete body as JSON; an empty body reads as null. */
 export async function readJson(req: IncomingMessage): Promise<unknown> {
   const bytes = await readBytes(req);
   return bytes.length === 0 ? null : JSON.parse(bytes.toString("utf8"));
 }
 
-/** Answers with a JSON body. */
+/** Sends a response with a JSON body. */
 export function sendJson(
   res: ServerResponse,
   status: number,
--- a/packages/standins/src/mod.ts
+++ b/packages/standins/src/mod.ts
@@ -1,16 +1,16 @@
 /**
- * Stand-ins for what surrounds the daemons, for the tests with real
- * processes and the experiments.
+ * Stand-ins for the systems around the daemons (platform, targets, callers),
+ * for tests with real processes and for experiments.
  *
  * @module
  */
 
 export {
+  DEPLOYMENT_NAMES,
   type DeploymentName,
-  DEPLOYMENTS,
+  PRESET_NAMES,
   type PresetName,
-  PRESETS,
-  shippedPreset,
+  readShippedPreset,
 } from "./presets.ts";
 export { createPlatform } from "./platform/platform.ts";
 export type { Faults, PlatformCounts } from "./platform/faults.ts";
@@ -25,12 +25,16 @@
   type ClusterOptions,
   OPERATOR_TOKENS,
 } from "./cluster/cluster.ts";
-export { makeChange, putFirstInForce, submit } from "./cluster/operate.ts";
-export { findPorts, type Ports } from "./cluster/ports.ts";
 export {
-  type Exit,
+  makeChange,
+  submitChange,
+  writeFirstPreset,
+} from "./cluster/operator_changes.ts";
+export { findFreePorts, type Ports } from "./cluster/ports.ts";
+export {
+  type ExitStatus,
   Processes,
   type ProcessOptions,
-  type Started,
+  type StartedProcess,
 } from "./cluster/processes.ts";
 export { daemonScript, standInScript } from "./cluster/scripts.ts";
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -1,37 +1,37 @@
 /**
- * The platform stand-in's switches.
+ * Faults that the platform stand-in can simulate.
  *
  * @module
  */
 
-/** How the platform treats calls to the table and the object store. */
+/** Fault of the table and the object store. */
 export type StoreFault =
   | "none"
-  /** Connections are cut; nothing takes effect. */
+  /** Connections are closed; no call takes effect. */
   | "down"
-  /** Calls are taken and never answered; nothing takes effect. */
+  /** Calls are accepted but get no response; none takes effect. */
   | "hang"
-  /** Writes take effect, then the connection is cut in place of the answer. */
+  /** Writes take effect, then the connection is closed without a response. */
   | "lose-answers";
 
-/** How the platform treats calls for the VM list. */
+/** Fault of the VM list. */
 export type ListFault = "none" | "down";
 
-/** The switches; all are off at the start. */
+/** The simulated faults; initially {@link NO_FAULTS}. */
 export interface Faults {
   readonly store: StoreFault;
   readonly list: ListFault;
-  /** Added to every answer of the table and the object store. */
+  /** Delay added to each response of the table and the object store. */
   readonly delayMs: number;
-  /** Age of the VM list that is served. */
+  /** Age of the VM list that is returned. */
   readonly listLagMs: number;
-  /** Writes a second that the store takes; 0 for no limit. */
+  /** Limit on writes per second; 0 means no limit. */
   readonly writesPerSecond: number;
-  /** Reads a second that the store takes; 0 for no limit. */
+  /** Limit on reads per second; 0 means no limit. */
   readonly readsPerSecond: number;
 }
 
-/** Every switch off. */
+/** Normal behaviour. */
 export const NO_FAULTS: Faults = {
   store: "none",
   list: "none",
@@ -41,31 +41,31 @@
   readsPerSecond: 0,
 };
 
-/** What the platform was asked; a transaction is one write, however many rows it has. */
+/** Counts of calls to the platform; a transaction counts as one write, regardless of its rows. */
 export interface PlatformCounts {
   reads: number;
   writes: number;
-  /** Calls beyond the limit, refused without effect. */
+  /** Calls refused by a rate limit; they had no effect. */
   throttled: number;
-  /** Writes that took effect and whose answer was cut. */
+  /** Writes that took effect but whose response was not sent. */
   answersLost: number;
   listReads: number;
 }
 
-/** Lets through a number of calls a second, with at most one second's worth at once. */
-export class RateLimit {
+/** A token bucket that holds at most the calls of one second. */
+export class RateLimiter {
   #tokens = Infinity;
-  #at = 0;
+  #refilledAt = 0;
 
-  /** Whether one more call fits at `now` (milliseconds); `perSecond` 0 always fits. */
-  take(perSecond: number, now: number): boolean {
+  /** Takes a token if there is one at `now` (in milliseconds); always succeeds if `perSecond` is 0. */
+  tryTake(perSecond: number, now: number): boolean {
     if (perSecond === 0) {
       this.#tokens = Infinity;
       return true;
     }
-    const gained = (now - this.#at) / 1_000 * perSecond;
-    this.#tokens = Math.min(perSecond, this.#tokens + gained);
-    this.#at = now;
+    const refill = (now - this.#refilledAt) / 1_000 * perSecond;
+    this.#tokens = Math.min(perSecond, this.#tokens + refill);
+    this.#refilledAt = now;
     if (this.#tokens < 1) {
       return false;
     }
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -1,22 +1,21 @@
 /**
- * A stand-in for the platform: transactional table, object store and VM list
- * over HTTP, with switches for the faults that the real one has.
+ * A stand-in for the platform: a transactional table, an object store and the
+ * VM list over HTTP. It can simulate the faults of the real platform.
  *
- * Protocol, all bodies JSON:
+ * Protocol; bodies are JSON except those of objects:
  *
- * - `POST /table/read {keys}` answers `{rows}`;
- * - `POST /table/scan {prefix, after?, limit}` answers `{rows}`;
- * - `POST /table/transact {conditions, writes}` answers a `TransactionResult`; a
- *   write without `value` deletes;
- * - `PUT /objects/NAME`, `GET /objects/NAME`: an object of bytes;
- * - `GET /vms` answers `{vms}`, the list of live and leaving VMs as it stood
- *   `listLagMs` ago;
- * - `PUT /vms/ID`, `DELETE /vms/ID`: a VM comes, changes or goes;
- * - `PUT /faults`: the switches that are named; the others stay as they are;
- * - `GET /counts`: what it was asked.
+ * - `POST /table/read {keys}` returns `{rows}`;
+ * - `POST /table/scan {prefix, after?, limit}` returns `{rows}`;
+ * - `POST /table/transact {conditions, writes}` returns a `TransactionResult`; a
+ *   write without `value` deletes the row;
+ * - `PUT /objects/NAME`, `GET /objects/NAME` store and return an object's bytes;
+ * - `GET /vms` returns `{vms}`, the live and leaving VMs as of `listLagMs` ago;
+ * - `PUT /vms/ID` adds or updates a VM, `DELETE /vms/ID` removes it;
+ * - `PUT /faults` sets the given faults and leaves the others unchanged;
+ * - `GET /counts` returns the counts of calls.
  *
- * A call beyond the limit of writes or reads is refused with 429 and has no
- * effect.
+ * A call that exceeds the limit on reads or writes is refused with 429 and has
+ * no effect.
  *
  * @module
  */
@@ -35,14 +34,14 @@
   type Faults,
   NO_FAULTS,
   type PlatformCounts,
-  RateLimit,
+  RateLimiter,
 } from "./faults.ts";
-import { LaggingList } from "./vm_list.ts";
+import { LaggingVmList } from "./vm_list.ts";
 
-/** What a call to the store asks for. */
-interface StoreCall {
+/** A call to the table or the object store. */
+interface StoreRequest {
   readonly kind: "table" | "objects";
-  /** The table's operation or the object's name. */
+  /** The table operation or the object name. */
   readonly name: string;
   readonly isWrite: boolean;
   readonly body: Buffer;
@@ -51,8 +50,11 @@
 class Platform {
   readonly #table = new MemoryTable();
   readonly #objects = new Map<string, Buffer>();
-  readonly #list = new LaggingList();
-  readonly #limits = { reads: new RateLimit(), writes: new RateLimit() };
+  readonly #vmList = new LaggingVmList();
+  readonly #rateLimiters = {
+    reads: new RateLimiter(),
+    writes: new RateLimiter(),
+  };
   readonly #counts: PlatformCounts = {
     reads: 0,
     writes: 0,
@@ -83,7 +85,7 @@
   }
 
   async #serveStore(
-    kind: StoreCall["kind"],
+    kind: StoreRequest["kind"],
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
@@ -100,10 +102,10 @@
       res.destroy();
       return;
     }
-    if (!this.#admits(isWrite)) {
-      return sendJson(res, 429, { message: "over the limit" });
+    if (!this.#checkRateLimit(isWrite)) {
+      return sendJson(res, 429, { message: "rate limit exceeded" });
     }
-    const answer = await this.#apply({ kind, name, isWrite, body });
+    const sendResponse = await this.#apply({ kind, name, isWrite, body });
     if (delayMs > 0) {
       await sleep(delayMs);
     }
@@ -112,34 +114,34 @@
       res.destroy();
       return;
     }
-    answer(res);
+    sendResponse(res);
   }
 
-  #admits(isWrite: boolean): boolean {
+  #checkRateLimit(isWrite: boolean): boolean {
     const { writesPerSecond, readsPerSecond } = this.#faults;
     const now = performance.now();
-    const fits = isWrite
-      ? this.#limits.writes.take(writesPerSecond, now)
-      : this.#limits.reads.take(readsPerSecond, now);
-    if (!fits) {
+    const isAllowed = isWrite
+      ? this.#rateLimiters.writes.tryTake(writesPerSecond, now)
+      : this.#rateLimiters.reads.tryTake(readsPerSecond, now);
+    if (!isAllowed) {
       this.#counts.throttled += 1;
     } else if (isWrite) {
       this.#counts.writes += 1;
     } else {
       this.#counts.reads += 1;
     }
-    return fits;
+    return isAllowed;
   }
 
-  /** Takes effect at once; the answer is sent by the function it returns. */
-  async #apply(call: StoreCall): Promise<(res: ServerResponse) => void> {
+  /** Applies the call immediately; the returned function sends the response. */
+  async #apply(call: StoreRequest): Promise<(res: ServerResponse) => void> {
     if (call.kind === "table") {
-      const answer = await this.#callTable(
+      const result = await this.#callTable(
         call.name,
         JSON.parse(call.body.toString("utf8")),
       );
-      const status = answer === undefined ? 404 : 200;
-      return (res) => sendJson(res, status, answer ?? {});
+      const status = result === undefined ? 404 : 200;
+      return (res) => sendJson(res, status, result ?? {});
     }
     if (call.isWrite) {
       this.#objects.set(call.name, call.body);
@@ -176,28 +178,28 @@
     const now = performance.now();
     switch (req.method) {
       case "PUT":
-        this.#list.set(vm, await readJson(req), now);
+        this.#vmList.set(vm, await readJson(req), now);
         return sendJson(res, 200, {});
       case "DELETE":
-        this.#list.set(vm, undefined, now);
+        this.#vmList.set(vm, undefined, now);
         return sendJson(res, 200, {});
       default:
-        return this.#serveList(res);
+        return this.#serveVmList(res);
     }
   }
 
-  #serveList(res: ServerResponse): void {
+  #serveVmList(res: ServerResponse): void {
     if (this.#faults.list === "down") {
       res.destroy();
       return;
     }
     this.#counts.listReads += 1;
-    const vms = this.#list.read(this.#faults.listLagMs, performance.now());
+    const vms = this.#vmList.read(this.#faults.listLagMs, performance.now());
     sendJson(res, 200, { vms });
   }
 }
 
-/** Makes the platform's HTTP server; whoever made it lets it listen. */
+/** Creates the platform's HTTP server; the caller starts listening. */
 export function createPlatform(): Server {
   const platform = new Platform();
   return createServer((req, res) => {
--- a/packages/standins/src/platform/platform_main.ts
+++ b/packages/standins/src/platform/platform_main.ts
@@ -6,5 +6,5 @@
 const { host, port } = processOptions<{ host: string; port: number }>();
 const server = createPlatform();
 await new Promise<void>((resolve) => server.listen(port, host, resolve));
-// The switches are on the platform's own listener; this one only says that it serves.
+// Faults are set through the platform's own listener; this one only prints the ready line.
 await serveAdmin(() => undefined);
--- a/packages/standins/src/platform/platform_test.ts
+++ b/packages/standins/src/platform/platform_test.ts
@@ -4,7 +4,7 @@
 import type { Faults } from "./faults.ts";
 import { createPlatform } from "./platform.ts";
 
-async function onPlatform(
+async function withPlatform(
   body: (url: string) => Promise<void>,
 ): Promise<void> {
   const server = createPlatform();
@@ -18,7 +18,7 @@
   }
 }
 
-async function set(url: string, faults: Partial<Faults>): Promise<void> {
+async function setFaults(url: string, faults: Partial<Faults>): Promise<void> {
   const res = await request(`${url}/faults`, {
     method: "PUT",
     body: JSON.stringify(faults),
@@ -33,7 +33,7 @@
   });
 }
 
-async function versionOf(url: string, key: string): Promise<number> {
+async function readVersion(url: string, key: string): Promise<number> {
   const res = await request(`${url}/table/read`, {
     method: "POST",
     body: JSON.stringify({ keys: [key] }),
@@ -42,40 +42,42 @@
   return rows[0]!.version;
 }
 
-test("a lost answer hides a write that took effect, an outage one that did not", async () => {
-  await onPlatform(async (url) => {
-    await set(url, { store: "lose-answers" });
+test("with lose-answers a failed write has taken effect, with down it has not", async () => {
+  await withPlatform(async (url) => {
+    await setFaults(url, { store: "lose-answers" });
     await expect(write(url, "a")).rejects.toThrow();
-    await set(url, { store: "down" });
+    await setFaults(url, { store: "down" });
     await expect(write(url, "b")).rejects.toThrow();
-    await set(url, { store: "none" });
-    expect([await versionOf(url, "a"), await versionOf(url, "b")])
+    await setFaults(url, { store: "none" });
+    expect([await readVersion(url, "a"), await readVersion(url, "b")])
       .toEqual([1, 0]);
   });
 });
 
-test("writes beyond the limit are refused without effect", async () => {
-  await onPlatform(async (url) => {
-    await set(url, { writesPerSecond: 2 });
+test("writes that exceed the limit are refused without effect", async () => {
+  await withPlatform(async (url) => {
+    await setFaults(url, { writesPerSecond: 2 });
     const keys = ["a", "b", "c", "d", "e"];
-    const answers = await Promise.all(keys.map((key) => write(url, key)));
-    const statuses = answers.map(({ statusCode }) => statusCode);
+    const responses = await Promise.all(keys.map((key) => write(url, key)));
+    const statuses = responses.map(({ statusCode }) => statusCode);
     expect(statuses.filter((status) => status === 429).length)
       .toBeGreaterThanOrEqual(2);
-    const versions = await Promise.all(keys.map((key) => versionOf(url, key)));
+    const versions = await Promise.all(
+      keys.map((key) => readVersion(url, key)),
+    );
     expect(versions).toEqual(
       statuses.map((status) => (status === 200 ? 1 : 0)),
     );
   });
 });
 
-test("the VM list lags behind what it was told", async () => {
-  await onPlatform(async (url) => {
-    await set(url, { listLagMs: 60_000 });
+test("the VM list lags by listLagMs", async () => {
+  await withPlatform(async (url) => {
+    await setFaults(url, { listLagMs: 60_000 });
     await request(`${url}/vms/e1`, { method: "PUT", body: '{"id":"e1"}' });
     const lagging = await request(`${url}/vms`);
     expect(await lagging.body.json()).toEqual({ vms: [] });
-    await set(url, { listLagMs: 0 });
+    await setFaults(url, { listLagMs: 0 });
     const current = await request(`${url}/vms`);
     expect(await current.body.json()).toEqual({ vms: [{ id: "e1" }] });
   });
--- a/packages/standins/src/platform/vm_list.ts
+++ b/packages/standins/src/platform/vm_list.ts
@@ -1,21 +1,21 @@
 /**
- * The platform's VM list, which lags behind reality.
+ * The platform's VM list, which can lag behind the actual state.
  *
  * @module
  */
 
-/** One state of the list and when it began. */
+/** The list from `at` until the next snapshot. */
 interface Snapshot {
   readonly at: number;
   readonly vms: readonly unknown[];
 }
 
-/** A list that is served as it stood some time ago. */
-export class LaggingList {
+/** A VM list that can be read as of an earlier time. */
+export class LaggingVmList {
   readonly #vms = new Map<string, unknown>();
   #history: readonly Snapshot[] = [{ at: -Infinity, vms: [] }];
 
-  /** Sets a VM's line, or removes it where `value` is undefined. */
+  /** Sets a VM's entry, or removes it if `value` is undefined. */
   set(id: string, value: unknown, now: number): void {
     if (value === undefined) {
       this.#vms.delete(id);
@@ -28,12 +28,12 @@
     }];
   }
 
-  /** The list as it stood `lagMs` before `now`; older states are forgotten. */
+  /** Returns the list as of `lagMs` before `now`; discards older snapshots. */
   read(lagMs: number, now: number): readonly unknown[] {
-    const until = now - lagMs;
-    const past = this.#history.filter(({ at }) => at <= until);
+    const asOf = now - lagMs;
+    const past = this.#history.filter(({ at }) => at <= asOf);
     const current = past[past.length - 1]!;
-    const later = this.#history.filter(({ at }) => at > until);
+    const later = this.#history.filter(({ at }) => at > asOf);
     this.#history = [current, ...later];
     return current.vms;
   }
--- a/packages/standins/src/presets.ts
+++ b/packages/standins/src/presets.ts
@@ -1,5 +1,5 @@
 /**
- * The presets that are shipped in `presets/`, by deployment.
+ * The presets shipped in `presets/` for each deployment.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import { fileURLToPath } from "node:url";
 import { type Preset, presetFormat, readDocument } from "@poplarthread/config";
 
-/** The deployments that presets are shipped for. */
-export const DEPLOYMENTS = ["hlasovka", "kinolenta"] as const;
-/** A deployment that presets are shipped for. */
-export type DeploymentName = typeof DEPLOYMENTS[number];
+/** The deployments that have shipped presets. */
+export const DEPLOYMENT_NAMES = ["hlasovka", "kinolenta"] as const;
+/** A deployment that has shipped presets. */
+export type DeploymentName = typeof DEPLOYMENT_NAMES[number];
 
-/** The presets that each deployment has. */
-export const PRESETS = ["ordinary", "peak", "maintenance"] as const;
-/** A preset that each deployment has. */
-export type PresetName = typeof PRESETS[number];
+/** The presets of each deployment. */
+export const PRESET_NAMES = ["ordinary", "peak", "maintenance"] as const;
+/** A preset of each deployment. */
+export type PresetName = typeof PRESET_NAMES[number];
 
-/** The file of a shipped preset. */
-export function presetFile(
+/** Returns the path of a shipped preset. */
+export function presetPath(
   deployment: DeploymentName,
   name: PresetName,
 ): string {
-  // Sources and build both stand two directories below the root of the packages.
+  // Sources and build output are equally deep in the repository, so one path serves both.
   const url = new URL(
     `../../../presets/${deployment}/${name}.json`,
     import.meta.url,
@@ -31,11 +31,11 @@
   return fileURLToPath(url);
 }
 
-/** Reads a shipped preset; throws a `FindingsError` where its check refuses it. */
-export function shippedPreset(
+/** Reads a shipped preset; throws a `FindingsError` if it is invalid. */
+export function readShippedPreset(
   deployment: DeploymentName,
   name: PresetName,
 ): Preset {
-  const text = readFileSync(presetFile(deployment, name), "utf8");
+  const text = readFileSync(presetPath(deployment, name), "utf8");
   return readDocument(text, presetFormat);
 }
--- a/packages/standins/src/presets_test.ts
+++ b/packages/standins/src/presets_test.ts
@@ -1,23 +1,28 @@
 import { expect, test } from "vitest";
-import { DEPLOYMENTS, presetFile, PRESETS, shippedPreset } from "./presets.ts";
+import {
+  DEPLOYMENT_NAMES,
+  PRESET_NAMES,
+  presetPath,
+  readShippedPreset,
+} from "./presets.ts";
 
-const shipped = DEPLOYMENTS.flatMap((deployment) =>
-  PRESETS.map((name) => ({ deployment, name }))
+const shipped = DEPLOYMENT_NAMES.flatMap((deployment) =>
+  PRESET_NAMES.map((name) => ({ deployment, name }))
 );
 
-// An operator switches to a shipped preset in the middle of a peak. Were it
-// refused then, the deployment would stay on the preset that does not fit.
+// Guards against shipping an invalid preset: an operator who switches to it during
+// peak load would be refused, and an unsuitable preset would stay in force.
 test.each(shipped)(
-  "the check accepts $deployment/$name as it is shipped",
+  "the shipped preset $deployment/$name is valid",
   ({ deployment, name }) => {
-    expect(presetFile(deployment, name)).toContain("/presets/");
-    expect(shippedPreset(deployment, name).id).toBe(name);
+    expect(presetPath(deployment, name)).toContain("/presets/");
+    expect(readShippedPreset(deployment, name).id).toBe(name);
   },
 );
 
-test("orders come before playlists and comments, and those before pages", () => {
-  const ranks = DEPLOYMENTS.map((deployment) =>
-    shippedPreset(deployment, "ordinary").classes
+test("bookings and objections rank before playlists and comments, and those before pages", () => {
+  const ranks = DEPLOYMENT_NAMES.map((deployment) =>
+    readShippedPreset(deployment, "ordinary").classes
       .map(({ id, rank }) => `${rank} ${id}`)
   );
   expect(ranks).toEqual([
--- a/packages/standins/src/process/crash_test.ts
+++ b/packages/standins/src/process/crash_test.ts
@@ -1,26 +1,35 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect, test } from "vitest";
 import type { Cluster } from "../cluster/cluster.ts";
-import { sum } from "../cluster/ledger.ts";
+import { sum } from "../cluster/violations.ts";
 import { waitFor } from "../cluster/wait.ts";
-import { expectSafe, onCluster, PLAYLIST, TEST_TIMEOUT_MS } from "./fixture.ts";
+import {
+  expectNoViolations,
+  PLAYLIST,
+  TEST_TIMEOUT_MS,
+  withCluster,
+} from "./fixture.ts";
 
-async function crashes(cluster: Cluster): Promise<number> {
-  const counts = Object.values(await cluster.targetCounts());
+async function countCrashes(cluster: Cluster): Promise<number> {
+  const counts = Object.values(await cluster.readTargetCounts());
   return sum(counts.map((target) => target.crashes));
 }
 
-// One playlist crashes each target that builds it, and the cinema fetches it
-// again, through whichever VM answers. Unhindered, it takes down one target after
-// the other and with them everybody's requests.
+// One playlist crashes each target that builds it, and the cinema keeps fetching it
+// through any VM that responds. Unless it is held back, it crashes one target after
+// another, and everyone's requests fail.
 test(
-  "a request that crashes targets is held back after two, on all VMs, and nobody else's is",
+  "a request that crashes targets is held back on all VMs after two crashes, other requests are not",
   async () => {
-    await onCluster(async (fixture) => {
+    await withCluster(async (fixture) => {
       const { cluster, vms } = fixture;
-      const caller = fixture.callers(vms[0]!);
-      const options = { name: "crashing", crashes: true, maxAttempts: 1 };
-      while (await crashes(cluster) < 2) {
+      const caller = fixture.createCaller(vms[0]!);
+      const options = {
+        pathSuffix: "crashing",
+        crashesTarget: true,
+        maxAttempts: 1,
+      };
+      while (await countCrashes(cluster) < 2) {
         await caller.send(PLAYLIST, options);
         await sleep(300);
       }
@@ -41,9 +50,11 @@
         ),
       );
       const heldBack = others.flatMap(({ attempts }) => attempts)
-        .filter((end) => end.kind === "refused" && end.reason === "held-back");
+        .filter((attempt) =>
+          attempt.kind === "refused" && attempt.reason === "held-back"
+        );
       expect(heldBack).toEqual([]);
-      // Two targets are away for a moment, and a VM may have no slots but theirs.
+      // Two targets are restarting, and a VM may have slots only on these.
       for (const vm of vms) {
         await waitFor(`another request through ${vm}`, async () => {
           const via = cluster.callerAddress(vm);
@@ -51,10 +62,10 @@
           return outcome === "served";
         });
       }
-      expect(await crashes(cluster)).toBe(2);
+      expect(await countCrashes(cluster)).toBe(2);
       expect(refused.map(({ outcome }) => outcome))
         .toEqual(vms.map(() => "refused-not-run"));
-      await expectSafe(fixture);
+      await expectNoViolations(fixture);
     });
   },
   TEST_TIMEOUT_MS,
--- a/packages/standins/src/process/cut_test.ts
+++ b/packages/standins/src/process/cut_test.ts
@@ -1,63 +1,63 @@
 import { expect, test } from "vitest";
 import { id, type PresetId } from "@poplarthread/ids";
-import { makeChange } from "../cluster/operate.ts";
+import { makeChange } from "../cluster/operator_changes.ts";
 import { waitFor } from "../cluster/wait.ts";
-import type { Cut } from "../relay/relay.ts";
+import type { Partition } from "../relay/relay.ts";
 import {
   BOOKING,
-  expectSafe,
-  onCluster,
-  outcomes,
-  slow,
+  countOutcomes,
+  expectNoViolations,
   TEST_TIMEOUT_MS,
+  withCluster,
+  withWorkMs,
 } from "./fixture.ts";
 
-const KINDS: readonly Cut["kind"][] = ["refuse", "silent"];
+const PARTITION_KINDS: readonly Partition["kind"][] = ["refuse", "silent"];
 
-// The links between one VM and the others break while each still reaches the
-// platform. A booking is under way on one side when its caller, impatient, sends
-// it again on the other. The two VMs cannot ask each other, yet it must not run
-// a second time, and a switch must still reach both sides.
-test.each(KINDS)(
-  "with links between VMs cut (%s) a booking runs once and a switch comes into force on both sides",
+// A partition separates one VM from the others while all still reach the platform.
+// A booking is in progress on one side when its caller repeats it on the other. The
+// two VMs cannot communicate, yet the booking must not run a second time, and a switch
+// of presets must still reach both sides.
+test.each(PARTITION_KINDS)(
+  "during a partition between VMs (%s) a booking runs at most once and a switch takes effect on both sides",
   async (kind) => {
-    await onCluster(async (fixture) => {
+    await withCluster(async (fixture) => {
       const { cluster, vms } = fixture;
-      const [alone, ...others] = vms as [string, string, string];
+      const [isolated, ...others] = vms as [string, string, string];
       const hostOf = (vm: string) => cluster.vm(vm).host;
-      await cluster.cut([
-        { kind, between: [hostOf(alone)], and: others.map(hostOf) },
+      await cluster.setPartitions([
+        { kind, between: [hostOf(isolated)], and: others.map(hostOf) },
       ]);
-      const caller = fixture.callers(others[0]!);
-      const [via, other] = [alone, others[0]!].map((vm) =>
+      const caller = fixture.createCaller(others[0]!);
+      const [via, otherVia] = [isolated, others[0]!].map((vm) =>
         cluster.callerAddress(vm)
       ) as [string, string];
       const keys = Array.from({ length: 6 }, (_, n) => `cut-${kind}-${n}`);
-      const kindOf = slow(BOOKING, 800);
+      const slowBooking = withWorkMs(BOOKING, 800);
       const results = await Promise.all(
         keys.flatMap((key) => [
-          caller.send(kindOf, { key, via }),
-          caller.send(kindOf, { key, via: other }),
+          caller.send(slowBooking, { key, via }),
+          caller.send(slowBooking, { key, via: otherVia }),
         ]),
       );
-      expect(outcomes(results).served).toBeGreaterThan(0);
+      expect(countOutcomes(results).served).toBeGreaterThan(0);
       const revision = await makeChange(cluster.operator(others[1]!), {
         change: { kind: "switch", preset: id<PresetId>("peak") },
         why: "the peak begins",
       });
       await waitFor("the switch on both sides", async () => {
-        const all = await Promise.all(
+        const statuses = await Promise.all(
           vms.map((vm) => cluster.operator(vm).status()),
         );
-        return all.every((status) => status.revision >= revision);
+        return statuses.every((status) => status.revision >= revision);
       });
-      await cluster.cut([]);
+      await cluster.setPartitions([]);
       const repeats = await Promise.all(
-        keys.map((key) => caller.send(kindOf, { key })),
+        keys.map((key) => caller.send(slowBooking, { key })),
       );
       expect(repeats.filter(({ outcome }) => outcome === "unreachable"))
         .toEqual([]);
-      await expectSafe(fixture);
+      await expectNoViolations(fixture);
     });
   },
   TEST_TIMEOUT_MS,
--- a/packages/standins/src/process/fixture.ts
+++ b/packages/standins/src/process/fixture.ts
@@ -1,6 +1,6 @@
 /**
- * What the tests with real processes share: a small cluster with its certain
- * end, and the points that must hold whatever failed.
+ * Shared fixture of the tests with real processes: a small cluster that is always
+ * stopped, and a check of the guarantees that must hold despite any failure.
  *
  * @module
  */
@@ -9,67 +9,69 @@
 import type { Caller, SendResult } from "../caller/caller.ts";
 import { MIXES, type RequestKind } from "../caller/request_kind.ts";
 import { Cluster, type ClusterOptions } from "../cluster/cluster.ts";
-import { type Ledger, reconcile } from "../cluster/ledger.ts";
+import { countViolations, type Violations } from "../cluster/violations.ts";
 import { waitFor } from "../cluster/wait.ts";
 
-/** One VM in each region, and few targets: enough for every failure, quick to start. */
-const SMALL: ClusterOptions = {
+/** One VM per region and few targets: enough for every failure, and quick to start. */
+const SMALL_CLUSTER: ClusterOptions = {
   deployment: "kinolenta",
   vms: 3,
-  targetsPerRegion: 2,
+  maxTargetsPerRegion: 2,
 };
 
-/** Longest run of one test; each waits for events, so that none comes near it. */
+/** Time-out of one test; far above any test's duration, since tests wait for events. */
 export const TEST_TIMEOUT_MS = 120_000;
 
-/** A running cluster and callers who know all its VMs. */
+/** A running cluster, and callers that know all its VMs. */
 export interface Fixture {
   readonly cluster: Cluster;
   readonly vms: readonly string[];
-  /** Callers beside a VM; their results count in {@link expectSafe}. */
-  callers(vm: string): Caller;
-  /** Compares what ran with what every caller was told. */
-  ledger(): Promise<Ledger>;
+  /** Creates callers at a VM's location; {@link expectNoViolations} includes their results. */
+  createCaller(vm: string): Caller;
+  /** Compares what targets ran with the results of all callers. */
+  countViolations(): Promise<Violations>;
 }
 
-/** Runs `body` on a cluster and ends all of it; the logs stay where it fails. */
-export async function onCluster(
+/** Runs `body` on a cluster and stops the cluster; keeps the logs if `body` fails. */
+export async function withCluster(
   body: (fixture: Fixture) => Promise<void>,
   options: Partial<ClusterOptions> = {},
 ): Promise<void> {
-  const cluster = await Cluster.start({ ...SMALL, ...options });
+  const cluster = await Cluster.start({ ...SMALL_CLUSTER, ...options });
   const callers: Caller[] = [];
   const vms = cluster.layout.vms.map(({ id }) => id);
   const fixture: Fixture = {
     cluster,
     vms,
-    callers(vm) {
-      const made = cluster.callers(`caller-${callers.length}`, vm, vms);
-      callers.push(made);
-      return made;
+    createCaller(vm) {
+      const caller = cluster.createCaller(`caller-${callers.length}`, vm, vms);
+      callers.push(caller);
+      return caller;
     },
-    async ledger() {
+    async countViolations() {
       const results = callers.map((caller) => caller.results.report());
-      return reconcile(await cluster.runs(), results);
+      return countViolations(await cluster.readRuns(), results);
     },
   };
-  let isGood = false;
+  let hasPassed = false;
   try {
-    await waitUntilServed(fixture);
+    await waitUntilServing(fixture);
     await body(fixture);
-    isGood = true;
+    hasPassed = true;
   } finally {
     await Promise.all(callers.map((caller) => caller.close()));
-    await cluster.stop({ keepLogs: !isGood });
-    if (!isGood) {
+    await cluster.stop({ keepLogs: !hasPassed });
+    if (!hasPassed) {
       console.error(`The daemons' logs are in ${cluster.dir}`);
     }
   }
 }
 
-/** Failures are to hit a running deployment: each VM has slots and has used them. */
-async function waitUntilServed({ cluster, vms, callers }: Fixture) {
-  const caller = callers(vms[0]!);
+/** Waits until each VM has slots and serves, so that failures hit a running deployment. */
+async function waitUntilServing(
+  { cluster, vms, createCaller }: Fixture,
+) {
+  const caller = createCaller(vms[0]!);
   for (const vm of vms) {
     const via = cluster.callerAddress(vm);
     for (const kind of [PLAYLIST, BOOKING]) {
@@ -81,9 +83,9 @@
   }
 }
 
-/** Nothing ran twice, no refusal lied, each answer was whole and its own. */
-export async function expectSafe(fixture: Fixture): Promise<void> {
-  expect(await fixture.ledger()).toEqual({
+/** Expects that nothing ran twice, no `not-run` was false, and each response was complete and correct. */
+export async function expectNoViolations(fixture: Fixture): Promise<void> {
+  expect(await fixture.countViolations()).toEqual({
     ranTwice: 0,
     falseNotRun: 0,
     partialAnswers: 0,
@@ -92,18 +94,18 @@
   });
 }
 
-/** A booking: keyed, at most once. */
-export const BOOKING = kind("booking");
+/** A booking: runs at most once and has an idempotency key. */
+export const BOOKING = findKind("booking");
 /** A playlist: idempotent. */
-export const PLAYLIST = kind("playlist");
+export const PLAYLIST = findKind("playlist");
 
-/** A kind of request whose work takes longer. */
-export function slow(kind: RequestKind, workMs: number): RequestKind {
+/** Returns a copy of `kind` whose work takes `workMs`. */
+export function withWorkMs(kind: RequestKind, workMs: number): RequestKind {
   return { ...kind, workMs };
 }
 
-/** How many of the results have each outcome. */
-export function outcomes(
+/** Counts the results by outcome. */
+export function countOutcomes(
   results: readonly SendResult[],
 ): Readonly<Record<string, number>> {
   const counts: Record<string, number> = {};
@@ -113,6 +115,6 @@
   return counts;
 }
 
-function kind(name: string): RequestKind {
-  return MIXES.kinolenta.find((one) => one.name === name)!;
+function findKind(name: string): RequestKind {
+  return MIXES.kinolenta.find((kind) => kind.name === name)!;
 }
--- a/packages/standins/src/process/freeze_test.ts
+++ b/packages/standins/src/process/freeze_test.ts
@@ -2,74 +2,76 @@
 import { expect, test } from "vitest";
 import { id, type PresetId } from "@poplarthread/ids";
 import type { Cluster } from "../cluster/cluster.ts";
-import { makeChange } from "../cluster/operate.ts";
+import { makeChange } from "../cluster/operator_changes.ts";
 import { waitFor } from "../cluster/wait.ts";
 import {
   BOOKING,
-  expectSafe,
-  onCluster,
-  slow,
+  expectNoViolations,
   TEST_TIMEOUT_MS,
+  withCluster,
+  withWorkMs,
 } from "./fixture.ts";
 
-async function plannerOf(cluster: Cluster, vms: readonly string[]) {
+async function waitForPlanner(cluster: Cluster, vms: readonly string[]) {
   let planner: string | undefined;
   await waitFor("a planner", async () => {
-    const all = await Promise.all(
+    const statuses = await Promise.all(
       vms.map((vm) => cluster.operator(vm).status()),
     );
-    planner = vms[all.findIndex(({ plan }) => plan.planning)];
+    planner = vms[statuses.findIndex(({ plan }) => plan.planning)];
     return planner !== undefined;
   });
   return planner!;
 }
 
-async function planNumbers(cluster: Cluster, vms: readonly string[]) {
-  const all = await Promise.all(vms.map((vm) => cluster.operator(vm).status()));
-  return all.map(({ plan }) => plan.number);
+async function readPlanNumbers(cluster: Cluster, vms: readonly string[]) {
+  const statuses = await Promise.all(
+    vms.map((vm) => cluster.operator(vm).status()),
+  );
+  return statuses.map(({ plan }) => plan.number);
 }
 
-// The VM that plans is paused, as when its host is moved, for longer than its
-// lease. It wakes and still believes that it plans. Were its old plan to win
-// over its successor's, regions would get more than they can carry; were its
-// preset to win, operators would see an accepted switch undone.
+// The planner VM is paused for longer than its lease, as during a migration of its
+// host, and resumes as if it were still the planner. If its old plan replaced its
+// successor's, regions would get more load than they can serve; if its old preset
+// did, an accepted switch would be reverted.
 test(
-  "a planner that wakes after its lease has lapsed neither plans nor reverts anything",
+  "a planner that resumes after its lease has expired neither plans nor reverts anything",
   async () => {
-    await onCluster(async (fixture) => {
+    await withCluster(async (fixture) => {
       const { cluster, vms } = fixture;
-      const frozen = await plannerOf(cluster, vms);
-      const awake = vms.filter((vm) => vm !== frozen);
-      const caller = fixture.callers(awake[0]!);
+      const frozen = await waitForPlanner(cluster, vms);
+      const others = vms.filter((vm) => vm !== frozen);
+      const caller = fixture.createCaller(others[0]!);
       const viaFrozen = Array.from(
         { length: 6 },
         () =>
-          caller.send(slow(BOOKING, 1_000), {
+          caller.send(withWorkMs(BOOKING, 1_000), {
             via: cluster.callerAddress(frozen),
           }),
       );
       await sleep(500);
-      cluster.process(frozen).signal("SIGSTOP");
-      const successor = await plannerOf(cluster, awake);
-      const revision = await makeChange(cluster.operator(awake[0]!), {
+      cluster.daemon(frozen).signal("SIGSTOP");
+      const successor = await waitForPlanner(cluster, others);
+      const revision = await makeChange(cluster.operator(others[0]!), {
         change: { kind: "switch", preset: id<PresetId>("peak") },
         why: "the peak begins",
       });
-      const before = await planNumbers(cluster, awake);
-      cluster.process(frozen).signal("SIGCONT");
+      const before = await readPlanNumbers(cluster, others);
+      cluster.daemon(frozen).signal("SIGCONT");
       await waitFor("the switch on all VMs", async () => {
-        const all = await Promise.all(
+        const statuses = await Promise.all(
           vms.map((vm) => cluster.operator(vm).status().catch(() => undefined)),
         );
-        return all.every((status) => status?.revision === revision);
+        return statuses.every((status) => status?.revision === revision);
       });
       await waitFor("one planner", async () => {
-        const all = await Promise.all(
+        const statuses = await Promise.all(
           vms.map((vm) => cluster.operator(vm).status()),
         );
-        return all.filter(({ plan }) => plan.planning).length === 1;
+        return statuses.filter(({ plan }) => plan.planning).length === 1;
       });
-      const after = await planNumbers(cluster, awake);
+      const after = await readPlanNumbers(cluster, others);
       expect(after.every((number, index) => number >= before[index]!)).toBe(
         true,
       );
@@ -83,7 +85,7 @@
       );
       expect(configurations.map(({ preset }) => preset.id))
         .toEqual(vms.map(() => "peak"));
-      await expectSafe(fixture);
+      await expectNoViolations(fixture);
     });
   },
   TEST_TIMEOUT_MS,
--- a/packages/standins/src/process/operators_test.ts
+++ b/packages/standins/src/process/operators_test.ts
@@ -1,18 +1,18 @@
 import { expect, test } from "vitest";
 import { id, type PresetId } from "@poplarthread/ids";
-import { submit } from "../cluster/operate.ts";
+import { submitChange } from "../cluster/operator_changes.ts";
 import { waitFor } from "../cluster/wait.ts";
-import { onCluster, TEST_TIMEOUT_MS } from "./fixture.ts";
+import { TEST_TIMEOUT_MS, withCluster } from "./fixture.ts";
 
 const ROUNDS = 5;
 
-// Two operators look at the same state and each switches, at the same moment and
-// through different VMs. Were both accepted, the one who came first would believe
-// that a preset runs which was replaced at once, without anybody having seen it.
+// Two operators see the same state, and both switch presets at the same time through
+// different VMs. If both were accepted, the first operator would believe that a preset
+// is in force which was replaced immediately, unnoticed.
 test(
-  "of two operators who switch at once one wins and the other is told who",
+  "of two simultaneous switches one is accepted and the other response names the winner",
   async () => {
-    await onCluster(async ({ cluster, vms }) => {
+    await withCluster(async ({ cluster, vms }) => {
       const anna = cluster.operator(vms[0]!, "anna");
       const boris = cluster.operator(vms[1]!, "boris");
       const presets = ["peak", "maintenance", "ordinary"];
@@ -23,21 +23,23 @@
           string,
           string,
         ];
-        const answers = await Promise.all([
-          submit(anna, switchTo(one, seenRevision)),
-          submit(boris, switchTo(two, seenRevision)),
+        const responses = await Promise.all([
+          submitChange(anna, switchTo(one, seenRevision)),
+          submitChange(boris, switchTo(two, seenRevision)),
         ]);
-        expect(answers.map(({ kind }) => kind).toSorted())
+        expect(responses.map(({ kind }) => kind).toSorted())
           .toEqual(["accepted", "conflict"]);
-        const winner = answers[0].kind === "accepted" ? "anna" : "boris";
-        const lost = answers.find((answer) => answer.kind === "conflict");
-        expect(lost?.kind === "conflict" && lost.won?.who).toBe(winner);
+        const winner = responses[0].kind === "accepted" ? "anna" : "boris";
+        const conflict = responses.find((response) =>
+          response.kind === "conflict"
+        );
+        expect(conflict?.kind === "conflict" && conflict.won?.who).toBe(winner);
         const expected = winner === "anna" ? one : two;
         await waitFor("the winner's preset on every VM", async () => {
-          const all = await Promise.all(
+          const statuses = await Promise.all(
             vms.map((vm) => cluster.operator(vm).status()),
           );
-          return all.every(({ preset, revision }) =>
+          return statuses.every(({ preset, revision }) =>
             preset?.id === expected && revision === seenRevision + 1
           );
         });
--- a/packages/standins/src/process/planned_stop_test.ts
+++ b/packages/standins/src/process/planned_stop_test.ts
@@ -1,46 +1,50 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect, test } from "vitest";
-import { Load } from "../caller/load.ts";
+import { LoadGenerator } from "../caller/load.ts";
 import { MIXES } from "../caller/request_kind.ts";
 import {
   BOOKING,
-  expectSafe,
-  onCluster,
-  slow,
+  expectNoViolations,
   TEST_TIMEOUT_MS,
+  withCluster,
+  withWorkMs,
 } from "./fixture.ts";
 
-// An operator stops a VM for planned work while callers use it, some of them with
-// an answer of the look-up that is seconds old. Each of their requests must get
-// its whole answer; a caller must not even find the door closed.
-test("a planned stop under load cuts nothing and ends by itself", async () => {
-  await onCluster(async (fixture) => {
-    const { cluster, vms } = fixture;
-    const [stopped, other] = vms as [string, string];
-    const address = cluster.callerAddress(stopped);
-    const caller = fixture.callers(stopped);
-    const load = new Load(caller, {
-      mix: MIXES.kinolenta,
-      perSecond: 20,
-      names: 5,
-      seed: 7,
+// An operator stops a VM for planned work while callers use it, some of them on a
+// look-up response that is several seconds old. Each request must get its complete
+// response, and no connection may be refused.
+test(
+  "a planned stop under load breaks no request, and the daemon exits by itself",
+  async () => {
+    await withCluster(async (fixture) => {
+      const { cluster, vms } = fixture;
+      const [stopped, other] = vms as [string, string];
+      const address = cluster.callerAddress(stopped);
+      const caller = fixture.createCaller(stopped);
+      const load = new LoadGenerator(caller, {
+        mix: MIXES.kinolenta,
+        perSecond: 20,
+        names: 5,
+        seed: 7,
+      });
+      load.start();
+      // Waits until targets are warm: cold ones would refuse some requests for lack of slots.
+      await sleep(4_000);
+      const late = caller.send(withWorkMs(BOOKING, 1_500), { via: address });
+      await sleep(500);
+      cluster.daemon(stopped).signal("SIGTERM");
+      const { code } = await cluster.daemon(stopped).exited;
+      await cluster.unregisterVm(stopped);
+      await load.stop();
+      expect(code).toBe(0);
+      expect((await late).attempts).toEqual([{ kind: "served" }]);
+      const { brokenByVm, notTakenByVm } = caller.results;
+      expect({ ...brokenByVm }).toEqual({});
+      expect(notTakenByVm[address] ?? 0).toBe(0);
+      const after = await fixture.createCaller(other).send(BOOKING);
+      expect(after.outcome).toBe("served");
+      await expectNoViolations(fixture);
     });
-    load.start();
-    // Cold targets would refuse some for lack of slots, which is not the matter here.
-    await sleep(4_000);
-    const late = caller.send(slow(BOOKING, 1_500), { via: address });
-    await sleep(500);
-    cluster.process(stopped).signal("SIGTERM");
-    const { code } = await cluster.process(stopped).exited;
-    await cluster.unlist(stopped);
-    await load.stop();
-    expect(code).toBe(0);
-    expect((await late).attempts).toEqual([{ kind: "served" }]);
-    const { brokenByVm, notTakenByVm } = caller.results;
-    expect({ ...brokenByVm }).toEqual({});
-    expect(notTakenByVm[address] ?? 0).toBe(0);
-    const after = await fixture.callers(other).send(BOOKING);
-    expect(after.outcome).toBe("served");
-    await expectSafe(fixture);
-  });
-}, TEST_TIMEOUT_MS);
+  },
+  TEST_TIMEOUT_MS,
+);
--- a/packages/standins/src/relay/relay.ts
+++ b/packages/standins/src/relay/relay.ts
@@ -1,127 +1,139 @@
 /**
- * A TCP relay that stands before the peers' listeners of all VMs: it delays
- * what passes by the places of both ends, and cuts links by switch.
+ * A TCP relay in front of the peer listeners of all VMs. It delays traffic
+ * according to the locations of both ends, and simulates network partitions.
  *
- * The relay connects onwards from the address that it was connected from, so
- * that the listener behind it sees its peer's own address.
+ * The relay connects to the listener from the address of the connecting peer,
+ * so that the listener sees that peer's address.
  *
  * @module
  */
 
 import { connect, createServer, type Server, type Socket } from "node:net";
-import { type Delays, oneWayMs, placeOf } from "../delays.ts";
+import { type Delays, locationOf, oneWayDelayMs } from "../delays.ts";
 
-/** One listener that the relay stands before. */
-export interface Relayed {
-  /** Both the relay and the listener behind it are on this address. */
+/** A listener that the relay forwards to. */
+export interface RelayedListener {
+  /** Address of both the relay and the listener. */
   readonly host: string;
   /** Port of the relay. */
   readonly port: number;
-  /** Port of the listener behind it. */
+  /** Port of the listener. */
   readonly behind: number;
 }
 
-/** A cut between two sets of addresses, in both directions. */
-export interface Cut {
+/** A network partition between two sets of addresses, in both directions. */
+export interface Partition {
   readonly kind:
-    /** Connections break and new ones are refused at once. */
+    /** Open connections are closed, and new ones are closed immediately. */
     | "refuse"
     /**
-     * Connections stay open and nothing passes, as when a switch drops packets;
-     * TCP sends again, so all of it arrives late, once the cut has healed.
+     * Connections stay open but no data passes, as when a switch drops packets.
+     * Since TCP retransmits, all data arrives late, after the partition has healed.
      */
     | "silent";
   readonly between: readonly string[];
   readonly and: readonly string[];
 }
 
-/** A connection through the relay. */
-interface Link {
+/** A connection through the relay: its two sockets and their addresses. */
+interface RelayedConnection {
   readonly from: string;
   readonly to: string;
-  readonly near: Socket;
-  readonly far: Socket;
-  /** What waits for a silent cut to heal, in order. */
-  held: (() => void)[];
+  readonly downstream: Socket;
+  readonly upstream: Socket;
+  /** Writes and closes that wait for a silent partition to heal, in order. */
+  heldActions: (() => void)[];
 }
 
-/** Relays to many listeners. */
-export class Relay {
+/** A relay in front of several listeners. */
+export class TcpRelay {
   readonly #delays: Delays;
-  readonly #links = new Set<Link>();
+  readonly #connections = new Set<RelayedConnection>();
   readonly #servers: Server[] = [];
-  #cuts: readonly Cut[] = [];
-  #bytes = 0;
+  #partitions: readonly Partition[] = [];
+  #relayedBytes = 0;
 
   constructor(delays: Delays) {
     this.#delays = delays;
   }
 
-  /** Bytes that passed, both ways. */
+  /** Bytes received from both sides. */
   get bytes(): number {
-    return this.#bytes;
+    return this.#relayedBytes;
   }
 
-  async listen(relayed: Relayed): Promise<void> {
-    const server = createServer((near) => this.#accept(relayed, near));
+  async listen(listener: RelayedListener): Promise<void> {
+    const server = createServer((downstream) =>
+      this.#accept(listener, downstream)
+    );
     this.#servers.push(server);
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
-      server.listen(relayed.port, relayed.host, resolve);
+      server.listen(listener.port, listener.host, resolve);
     });
   }
 
-  /** Replaces all cuts; connections that a refusing cut covers break at once. */
-  cut(cuts: readonly Cut[]): void {
-    this.#cuts = cuts;
-    this.#links.forEach((link) => this.#applyCut(link));
+  /** Replaces all partitions; closes connections across those of kind `refuse`. */
+  setPartitions(partitions: readonly Partition[]): void {
+    this.#partitions = partitions;
+    this.#connections.forEach((connection) => this.#applyPartition(connection));
   }
 
-  #applyCut(link: Link): void {
-    switch (this.#cutBetween(link.from, link.to)?.kind) {
+  #applyPartition(connection: RelayedConnection): void {
+    switch (this.#partitionBetween(connection.from, connection.to)?.kind) {
       case "refuse":
-        link.near.destroy();
-        link.far.destroy();
+        connection.downstream.destroy();
+        connection.upstream.destroy();
         return;
       case "silent":
         return;
       case undefined: {
-        const { held } = link;
-        link.held = [];
-        held.forEach((deliver) => deliver());
+        const { heldActions } = connection;
+        connection.heldActions = [];
+        heldActions.forEach((action) => action());
       }
     }
   }
 
   close(): void {
     this.#servers.forEach((server) => server.close());
-    this.#links.forEach(({ near, far }) => {
-      near.destroy();
-      far.destroy();
+    this.#connections.forEach(({ downstream, upstream }) => {
+      downstream.destroy();
+      upstream.destroy();
     });
   }
 
-  #accept(relayed: Relayed, near: Socket): void {
-    const from = near.remoteAddress ?? "";
-    if (this.#cutBetween(from, relayed.host)?.kind === "refuse") {
-      near.destroy();
+  #accept(listener: RelayedListener, downstream: Socket): void {
+    const from = downstream.remoteAddress ?? "";
+    if (this.#partitionBetween(from, listener.host)?.kind === "refuse") {
+      downstream.destroy();
       return;
     }
-    const far = connect({
-      host: relayed.host,
-      port: relayed.behind,
+    const upstream = connect({
+      host: listener.host,
+      port: listener.behind,
       localAddress: from,
     });
-    const link: Link = { from, to: relayed.host, near, far, held: [] };
-    this.#links.add(link);
-    const delayMs = oneWayMs(placeOf(from), placeOf(link.to), this.#delays);
-    this.#pass(link, { source: near, sink: far, delayMs });
-    this.#pass(link, { source: far, sink: near, delayMs });
-    near.once("close", () => this.#links.delete(link));
+    const connection: RelayedConnection = {
+      from,
+      to: listener.host,
+      downstream,
+      upstream,
+      heldActions: [],
+    };
+    this.#connections.add(connection);
+    const delayMs = oneWayDelayMs(
+      locationOf(from),
+      locationOf(connection.to),
+      this.#delays,
+    );
+    this.#forward(connection, { source: downstream, sink: upstream, delayMs });
+    this.#forward(connection, { source: upstream, sink: downstream, delayMs });
+    downstream.once("close", () => this.#connections.delete(connection));
   }
 
-  #pass(
-    link: Link,
+  #forward(
+    connection: RelayedConnection,
     { source, sink, delayMs }: {
       source: Socket;
       sink: Socket;
@@ -130,30 +142,39 @@
   ): void {
     source.setNoDelay(true);
     source.on("data", (chunk) => {
-      this.#bytes += chunk.length;
-      this.#deliver(link, delayMs, () => sink.write(chunk));
+      this.#relayedBytes += chunk.length;
+      this.#runAfterDelay(connection, delayMs, () => sink.write(chunk));
     });
-    source.once("end", () => this.#deliver(link, delayMs, () => sink.end()));
+    source.once(
+      "end",
+      () => this.#runAfterDelay(connection, delayMs, () => sink.end()),
+    );
     source.once(
       "close",
-      () => this.#deliver(link, delayMs, () => sink.destroy()),
+      () => this.#runAfterDelay(connection, delayMs, () => sink.destroy()),
     );
     source.on("error", () => sink.destroy());
   }
 
-  /** Acts after the delay, or when the cut that it then meets has healed. */
-  #deliver(link: Link, delayMs: number, act: () => void): void {
+  /** Runs `action` after the delay, or once the partition that is in effect then has healed. */
+  #runAfterDelay(
+    connection: RelayedConnection,
+    delayMs: number,
+    action: () => void,
+  ): void {
     setTimeout(() => {
-      if (this.#cutBetween(link.from, link.to) === undefined) {
-        act();
+      if (
+        this.#partitionBetween(connection.from, connection.to) === undefined
+      ) {
+        action();
       } else {
-        link.held.push(act);
+        connection.heldActions.push(action);
       }
     }, delayMs);
   }
 
-  #cutBetween(from: string, to: string): Cut | undefined {
-    return this.#cuts.find(({ between, and }) =>
+  #partitionBetween(from: string, to: string): Partition | undefined {
+    return this.#partitions.find(({ between, and }) =>
       (between.includes(from) && and.includes(to)) ||
       (between.includes(to) && and.includes(from))
     );
--- a/packages/standins/src/target/runs.ts
+++ b/packages/standins/src/target/run_counter.ts
@@ -1,11 +1,12 @@
 /**
- * What ran on the targets of one process: each attempt and each idempotency
- * key with how often. The counts outlive crashes, which are only played.
+ * Counts how often each attempt and each idempotency key ran on the targets of
+ * one process. The counts survive the targets' crashes, which are simulated
+ * within the process.
  *
  * @module
  */
 
-/** Runs of all targets of a process, as its administration listener answers them. */
+/** Run counts of all targets of a process, as its administration listener reports them. */
 export interface RunsReport {
   /** Number of runs by attempt. */
   readonly attempts: Readonly<Record<string, number>>;
@@ -13,12 +14,12 @@
   readonly keys: Readonly<Record<string, number>>;
 }
 
-/** Counts runs. */
-export class Runs {
+/** Counts runs by attempt and by idempotency key. */
+export class RunCounter {
   readonly #attempts = new Map<string, number>();
   readonly #keys = new Map<string, number>();
 
-  /** Counts one run; parts that the request does not name are empty. */
+  /** Counts one run; `attempt` and `key` are empty if the request has none. */
   record(attempt: string, key: string): void {
     increment(this.#attempts, attempt);
     increment(this.#keys, key);
--- a/packages/standins/src/target/switches.ts
+++ b/packages/standins/src/target/switches.ts
@@ -1,32 +1,32 @@
 /**
- * How a target stand-in behaves, and its switches.
+ * Options of a target stand-in, and the switches that change its behaviour.
  *
  * @module
  */
 
 import type { Delays } from "../delays.ts";
 
-/** What a target's health endpoint says. */
+/** What a target's health endpoint reports. */
 export type HealthSwitch = "truth" | "always-ok" | "always-failing";
-/** What a target's load endpoint says. */
+/** What a target's load endpoint reports. */
 export type LoadSwitch = "truth" | "always-idle" | "always-full";
 
-/** The switches of one target; all are off at the start. */
+/** Switches that change the behaviour of one target; initially {@link DEFAULT_SWITCHES}. */
 export interface TargetSwitches {
   readonly health: HealthSwitch;
   readonly load: LoadSwitch;
-  /** Age of what the health and load endpoints say. */
+  /** Age of the state that the health and load endpoints report. */
   readonly reportLagMs: number;
-  /** The target says on each answer that it is leaving; it still serves. */
+  /** The target marks each response with `poplarthread-leaving`, but still serves. */
   readonly draining: boolean;
-  /** Work takes this many times as long. */
+  /** Factor by which work takes longer. */
   readonly slowness: number;
-  /** Share of the slots above which work is refused with the not-run mark. */
+  /** Share of the slots above which work is refused with `poplarthread-not-run`. */
   readonly shedAbove: number;
 }
 
-/** Every switch off. */
-export const NO_SWITCHES: TargetSwitches = {
+/** Normal behaviour. */
+export const DEFAULT_SWITCHES: TargetSwitches = {
   health: "truth",
   load: "truth",
   reportLagMs: 0,
@@ -35,52 +35,52 @@
   shedAbove: 1,
 };
 
-/** One target, as it is started. */
+/** Options of one target. */
 export interface TargetOptions {
   readonly id: string;
   readonly host: string;
   readonly port: number;
-  /** Requests that it works on at once. */
+  /** Largest number of requests that run at once. */
   readonly slots: number;
-  /** Connections that it accepts; more are closed at once. */
+  /** Largest number of open connections; further ones are closed immediately. */
   readonly connections: number;
-  /** Time that work takes where the request does not say. */
+  /** Duration of work if the request does not specify it. */
   readonly workMs: number;
-  /** For this long after a start, work takes {@link COLD_FACTOR} times as long. */
+  /** Time after a start during which work takes {@link COLD_SLOWDOWN} times as long. */
   readonly coldMs: number;
   readonly delays: Delays;
 }
 
-/** Cold caches: how many times longer work takes. */
-export const COLD_FACTOR = 3;
-/** Cost of a new connection, as measured by the users on their targets. */
-export const NEW_CONNECTION_MS = 1;
-/** How long a crashed target is away. */
-export const RESTART_MS = 1_500;
+/** Factor by which work takes longer while the target's caches are cold. */
+export const COLD_SLOWDOWN = 3;
+/** Time to set up a new connection on the users' targets. */
+export const CONNECTION_SETUP_MS = 1;
+/** Time between a target's crash and its restart. */
+export const RESTART_DELAY_MS = 1_500;
 
-/** What one target counted. */
+/** Counts of one target. */
 export interface TargetCounts {
-  /** Requests that it began to run. */
+  /** Requests that began to run. */
   runs: number;
-  /** Refused with the not-run mark. */
+  /** Requests refused with `poplarthread-not-run`. */
   shed: number;
-  /** Cancelled by the other side before the answer was whole. */
+  /** Requests whose connection closed before the response was complete. */
   cancelled: number;
-  /** Work stopped at its deadline. */
+  /** Requests stopped at their deadline. */
   deadlineStops: number;
-  /** Requests that came without a deadline. */
+  /** Requests received without a deadline. */
   withoutDeadline: number;
   crashes: number;
-  /** Runs that began after the target should have had no new work. */
+  /** Runs that began after the target should have stopped receiving requests. */
   runsWhileQuiet: number;
-  /** Most requests at work at once. */
+  /** Largest number of requests in progress at the same time. */
   mostAtOnce: number;
-  /** Connections refused since there were too many. */
+  /** Connections refused because `connections` were open already. */
   connectionsRefused: number;
 }
 
-/** Counts of a target that did nothing yet. */
-export function noCounts(): TargetCounts {
+/** Returns counts that are all zero. */
+export function zeroCounts(): TargetCounts {
   return {
     runs: 0,
     shed: 0,
--- a/packages/standins/src/target/target.ts
+++ b/packages/standins/src/target/target.ts
@@ -1,16 +1,17 @@
 /**
- * A stand-in for a target: a server with few slots that counts what it ran.
+ * A stand-in for a target: an HTTP server with a limited number of slots that
+ * counts the requests it runs.
  *
- * Protocol: any method and path is work, except
+ * Protocol: every method and path is treated as work, except
  *
- * - `GET /health` answers `{"status": "ok" | "cold" | "draining"}`;
- * - `GET /load` answers `{"inFlight", "slots"}`.
+ * - `GET /health`, which returns `{"status": "ok" | "cold" | "draining"}`;
+ * - `GET /load`, which returns `{"inFlight", "slots"}`.
  *
- * Work beyond the slots is refused with 503 and `poplarthread-not-run: 1`, as
- * is work whose deadline has passed when it comes. A draining target says so
- * with `poplarthread-leaving: 1` on each answer. A closed connection cancels.
- * Work that is not done by its deadline is stopped and answered with 504: it
- * did run.
+ * Work that exceeds the slots, or whose deadline has passed on arrival, is
+ * refused with 503 and `poplarthread-not-run: 1`. A draining target adds
+ * `poplarthread-leaving: 1` to each response. Work is cancelled when its
+ * connection closes. Work that misses its deadline is stopped with a 504 and
+ * counts as run.
  *
  * @module
  */
@@ -24,54 +25,54 @@
 import type { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
-import { oneWayMs, type Place, placeOf } from "../delays.ts";
+import { oneWayDelayMs, type Location, locationOf } from "../delays.ts";
 import { readBytes, sendJson } from "../http_json.ts";
 import {
-  ANSWER_BYTES_HEADER,
-  answerOf,
+  RESPONSE_BYTES_HEADER,
+  responseBody,
   ATTEMPT_HEADER,
   CRASH_HEADER,
-  digestOf,
+  requestDigest,
   WORK_MS_HEADER,
-} from "../work.ts";
-import { Reports, type TargetState } from "./reports.ts";
-import type { Runs } from "./runs.ts";
+} from "../work_protocol.ts";
+import { StateReporter, type TargetState } from "./state_reporter.ts";
+import type { RunCounter } from "./run_counter.ts";
 import {
-  COLD_FACTOR,
-  NEW_CONNECTION_MS,
-  NO_SWITCHES,
-  noCounts,
-  RESTART_MS,
+  COLD_SLOWDOWN,
+  CONNECTION_SETUP_MS,
+  DEFAULT_SWITCHES,
+  zeroCounts,
+  RESTART_DELAY_MS,
   type TargetCounts,
   type TargetOptions,
   type TargetSwitches,
 } from "./switches.ts";
 
 const DEADLINE_HEADER = "poplarthread-deadline-ms";
-const KEY_HEADER = "idempotency-key";
-/** Answers over this size go out in two parts, so that one can break between them. */
-const SPLIT_BYTES = 1_024;
+const IDEMPOTENCY_KEY_HEADER = "idempotency-key";
+/** Larger responses are sent in two chunks, so that a connection can break between them. */
+const MAX_UNSPLIT_BYTES = 1_024;
 
-/** A target that listens on an address of its own. */
+/** A target that listens on its own address. */
 export class Target {
   readonly #options: TargetOptions;
-  readonly #runs: Runs;
-  readonly #place: Place | undefined;
-  readonly #reports = new Reports();
-  readonly #counts = noCounts();
+  readonly #runCounter: RunCounter;
+  readonly #location: Location | undefined;
+  readonly #reporter = new StateReporter();
+  readonly #counts = zeroCounts();
   readonly #sockets = new Set<Socket>();
-  readonly #known = new WeakSet<Socket>();
+  readonly #seenSockets = new WeakSet<Socket>();
   #server: Server;
-  #switches = NO_SWITCHES;
+  #switches = DEFAULT_SWITCHES;
   #inFlight = 0;
   #startedAt = 0;
-  #quietFrom = Infinity;
+  #noRunsAfter = Infinity;
 
-  constructor(options: TargetOptions, runs: Runs) {
+  constructor(options: TargetOptions, runCounter: RunCounter) {
     this.#options = options;
-    this.#runs = runs;
-    this.#place = placeOf(options.host);
-    this.#server = this.#makeServer();
+    this.#runCounter = runCounter;
+    this.#location = locationOf(options.host);
+    this.#server = this.#createServer();
   }
 
   get id(): string {
@@ -91,24 +92,24 @@
     });
   }
 
-  /** Ends at once and cuts what is in flight. */
+  /** Closes the listener and all connections, also those with requests in progress. */
   close(): void {
     this.#server.close();
     this.#sockets.forEach((socket) => socket.destroy());
   }
 
-  set(switches: Partial<TargetSwitches>): void {
+  setSwitches(switches: Partial<TargetSwitches>): void {
     this.#switches = { ...this.#switches, ...switches };
   }
 
-  /** Counts every run that begins later than `ms` from now as one too many. */
-  expectQuietAfter(ms: number): void {
-    this.#quietFrom = performance.now() + ms;
+  /** Counts every run that begins more than `ms` from now in `runsWhileQuiet`. */
+  expectNoRunsAfter(ms: number): void {
+    this.#noRunsAfter = performance.now() + ms;
   }
 
-  #makeServer(): Server {
+  #createServer(): Server {
     const server = createServer((req, res) => {
-      // A cancelled request rejects the reading of its body; it was counted when it closed.
+      // Reading the body fails if the connection closes meanwhile.
       this.#serve(req, res).catch(() => res.destroy());
     });
     server.maxConnections = this.#options.connections;
@@ -121,31 +122,31 @@
   }
 
   async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const delayMs = oneWayMs(
-      placeOf(req.socket.remoteAddress),
-      this.#place,
+    const delayMs = oneWayDelayMs(
+      locationOf(req.socket.remoteAddress),
+      this.#location,
       this.#options.delays,
     );
-    await this.#arrive(req.socket, delayMs);
+    await this.#delayArrival(req.socket, delayMs);
     if (this.#switches.draining) {
       res.setHeader("poplarthread-leaving", "1");
     }
     switch (req.url) {
       case "/health":
         await sleep(delayMs);
-        return this.#answerHealth(res);
+        return this.#sendHealth(res);
       case "/load":
         await sleep(delayMs);
         return sendJson(res, 200, this.#load());
       default:
-        return await this.#work(req, res, delayMs);
+        return await this.#handleWork(req, res, delayMs);
     }
   }
 
-  async #arrive(socket: Socket, delayMs: number): Promise<void> {
-    const isNew = !this.#known.has(socket);
-    this.#known.add(socket);
-    const waitMs = delayMs + (isNew ? NEW_CONNECTION_MS : 0);
+  async #delayArrival(socket: Socket, delayMs: number): Promise<void> {
+    const isNew = !this.#seenSockets.has(socket);
+    this.#seenSockets.add(socket);
+    const waitMs = delayMs + (isNew ? CONNECTION_SETUP_MS : 0);
     if (waitMs > 0) {
       await sleep(waitMs);
     }
@@ -162,45 +163,45 @@
     return { at, inFlight: this.#inFlight, status };
   }
 
-  #answerHealth(res: ServerResponse): void {
-    const health = this.#reports.health(this.#state(), this.#switches);
+  #sendHealth(res: ServerResponse): void {
+    const health = this.#reporter.health(this.#state(), this.#switches);
     sendJson(res, health === undefined ? 503 : 200, health ?? {});
   }
 
   #load(): { inFlight: number; slots: number } {
     const { slots } = this.#options;
-    return this.#reports.load(this.#state(), this.#switches, slots);
+    return this.#reporter.load(this.#state(), this.#switches, slots);
   }
 
-  async #work(
+  async #handleWork(
     req: IncomingMessage,
     res: ServerResponse,
     delayMs: number,
   ): Promise<void> {
     const arrivedAt = performance.now();
-    const deadlineMs = this.#deadlineOf(req);
-    const room = this.#options.slots * this.#switches.shedAbove;
-    if (this.#inFlight >= room || deadlineMs <= 0) {
+    const deadlineMs = this.#readDeadlineMs(req);
+    const maxInFlight = this.#options.slots * this.#switches.shedAbove;
+    if (this.#inFlight >= maxInFlight || deadlineMs <= 0) {
       this.#counts.shed += 1;
       await sleep(delayMs);
       this.#refuse(res);
       return;
     }
-    this.#enter();
+    this.#workStarted();
     try {
       const body = await readBytes(req);
       if (res.destroyed) {
         this.#counts.cancelled += 1;
         return;
       }
-      const leftMs = deadlineMs - (performance.now() - arrivedAt);
-      await this.#run(req, res, { body, leftMs, delayMs });
+      const remainingMs = deadlineMs - (performance.now() - arrivedAt);
+      await this.#run(req, res, { body, remainingMs, delayMs });
     } finally {
-      this.#leave();
+      this.#workEnded();
     }
   }
 
-  #deadlineOf(req: IncomingMessage): number {
+  #readDeadlineMs(req: IncomingMessage): number {
     const header = req.headers[DEADLINE_HEADER];
     if (header === undefined) {
       this.#counts.withoutDeadline += 1;
@@ -214,66 +215,66 @@
     res.end();
   }
 
-  #enter(): void {
+  #workStarted(): void {
     this.#inFlight += 1;
     this.#counts.mostAtOnce = Math.max(this.#counts.mostAtOnce, this.#inFlight);
-    this.#reports.record(this.#state());
+    this.#reporter.record(this.#state());
   }
 
-  #leave(): void {
+  #workEnded(): void {
     this.#inFlight -= 1;
-    this.#reports.record(this.#state());
+    this.#reporter.record(this.#state());
   }
 
   async #run(
     req: IncomingMessage,
     res: ServerResponse,
-    job: { body: Buffer; leftMs: number; delayMs: number },
+    job: { body: Buffer; remainingMs: number; delayMs: number },
   ): Promise<void> {
-    const key = headerOf(req, KEY_HEADER);
+    const key = headerOf(req, IDEMPOTENCY_KEY_HEADER);
     this.#counts.runs += 1;
-    this.#runs.record(headerOf(req, ATTEMPT_HEADER), key);
-    if (performance.now() > this.#quietFrom) {
+    this.#runCounter.record(headerOf(req, ATTEMPT_HEADER), key);
+    if (performance.now() > this.#noRunsAfter) {
       this.#counts.runsWhileQuiet += 1;
     }
     if (headerOf(req, CRASH_HEADER) !== "") {
       this.#crash();
       return;
     }
-    const workMs = this.#workMs(req);
-    const isLate = workMs > job.leftMs;
+    const workMs = this.#workDurationMs(req);
+    const missesDeadline = workMs > job.remainingMs;
     const wasCancelled = await this.#sleepUnlessClosed(
       res,
-      Math.min(workMs, job.leftMs),
+      Math.min(workMs, job.remainingMs),
     );
     if (wasCancelled) {
       this.#counts.cancelled += 1;
       return;
     }
-    if (isLate) {
+    if (missesDeadline) {
       this.#counts.deadlineStops += 1;
       sendJson(res, 504, { message: "stopped at its deadline" });
       return;
     }
-    const digest = digestOf({
+    const digest = requestDigest({
       method: req.method!,
       path: req.url!,
       key,
       body: job.body,
     });
-    const bytes = Number(headerOf(req, ANSWER_BYTES_HEADER));
+    const bytes = Number(headerOf(req, RESPONSE_BYTES_HEADER));
     await sleep(job.delayMs);
-    await this.#answer(res, answerOf(digest, bytes));
+    await this.#sendResponse(res, responseBody(digest, bytes));
   }
 
-  #workMs(req: IncomingMessage): number {
-    const asked = headerOf(req, WORK_MS_HEADER);
-    const workMs = asked === "" ? this.#options.workMs : Number(asked);
-    const factor = this.#state().status === "cold" ? COLD_FACTOR : 1;
+  #workDurationMs(req: IncomingMessage): number {
+    const header = headerOf(req, WORK_MS_HEADER);
+    const workMs = header === "" ? this.#options.workMs : Number(header);
+    const factor = this.#state().status === "cold" ? COLD_SLOWDOWN : 1;
     return workMs * factor * this.#switches.slowness;
   }
 
-  /** Waits; answers whether the other side closed the connection meanwhile. */
+  /** Waits for `ms` or until the connection closes; returns whether it closed. */
   async #sleepUnlessClosed(res: ServerResponse, ms: number): Promise<boolean> {
     const closed = new AbortController();
     const onClose = () => closed.abort();
@@ -281,34 +282,34 @@
     try {
       await sleep(ms, undefined, { signal: closed.signal });
     } catch {
-      // The wait rejects only when the connection closed; that is what is answered.
+      // The wait is aborted only when the connection closes, which the return value reports.
     }
     res.off("close", onClose);
     return res.destroyed;
   }
 
-  async #answer(res: ServerResponse, answer: Buffer): Promise<void> {
+  async #sendResponse(res: ServerResponse, body: Buffer): Promise<void> {
     res.writeHead(200, { "content-type": "application/octet-stream" });
-    if (answer.length > SPLIT_BYTES) {
-      const middle = answer.length >> 1;
-      res.write(answer.subarray(0, middle));
+    if (body.length > MAX_UNSPLIT_BYTES) {
+      const middle = body.length >> 1;
+      res.write(body.subarray(0, middle));
       await sleep(1);
-      res.end(answer.subarray(middle));
+      res.end(body.subarray(middle));
       return;
     }
-    res.end(answer);
+    res.end(body);
   }
 
-  /** Cuts everything, is away for a while, and comes back with cold caches. */
+  /** Closes everything and restarts with cold caches after {@link RESTART_DELAY_MS}. */
   #crash(): void {
     this.#counts.crashes += 1;
     this.close();
     setTimeout(() => {
-      this.#server = this.#makeServer();
+      this.#server = this.#createServer();
       this.listen().catch((err) => {
-        console.error(`Cannot restart ${this.id}: ${err}`);
+        console.error(`Cannot restart target ${this.id}: ${err}`);
       });
-    }, RESTART_MS);
+    }, RESTART_DELAY_MS);
   }
 }
 
--- a/packages/standins/src/target/target_main.ts
+++ b/packages/standins/src/target/target_main.ts
@@ -1,31 +1,31 @@
 /**
- * Runs target stand-ins, many in one process: `target_main.js '{"targets"}'`.
- * Its administration listener answers `counts`, `runs`, `set` and `quiet`.
+ * Runs several target stand-ins in one process: `target_main.js '{"targets"}'`.
+ * Its administration listener handles `counts`, `runs`, `set` and `quiet`.
  *
  * @module
  */
 
 import { processOptions, serveAdmin } from "../admin.ts";
-import { Runs } from "./runs.ts";
+import { RunCounter } from "./run_counter.ts";
 import type { TargetOptions, TargetSwitches } from "./switches.ts";
 import { Target } from "./target.ts";
 
-/** Body of `set`: which target, and its switches. */
-interface SetCall {
+/** Body of `set`: the switches to change on a target. */
+interface SetSwitchesRequest {
   readonly target: string;
   readonly switches: Partial<TargetSwitches>;
 }
 
-/** Body of `quiet`: no run should begin on the target later than this from now. */
-interface QuietCall {
+/** Body of `quiet`: no run should begin on the target more than `afterMs` from now. */
+interface ExpectNoRunsRequest {
   readonly target: string;
   readonly afterMs: number;
 }
 
 const options = processOptions<{ targets: readonly TargetOptions[] }>();
-const runs = new Runs();
+const runCounter = new RunCounter();
 const targets = new Map(
-  options.targets.map((target) => [target.id, new Target(target, runs)]),
+  options.targets.map((target) => [target.id, new Target(target, runCounter)]),
 );
 await Promise.all([...targets.values()].map((target) => target.listen()));
 
@@ -36,15 +36,15 @@
         [...targets].map(([id, target]) => [id, target.counts]),
       );
     case "runs":
-      return runs.report();
+      return runCounter.report();
     case "set": {
-      const call = body as SetCall;
-      targets.get(call.target)!.set(call.switches);
+      const request = body as SetSwitchesRequest;
+      targets.get(request.target)!.setSwitches(request.switches);
       return {};
     }
     case "quiet": {
-      const call = body as QuietCall;
-      targets.get(call.target)!.expectQuietAfter(call.afterMs);
+      const request = body as ExpectNoRunsRequest;
+      targets.get(request.target)!.expectNoRunsAfter(request.afterMs);
       return {};
     }
     default:
