--- a/packages/standins/src/caller/caller.ts
+++ b/packages/standins/src/caller/caller.ts
@@ -35,7 +35,10 @@
   readonly via?: string;
   /** Key of an earlier request, to repeat that request. */
   readonly key?: string;
-  /** Last path segment; with it a request without a key can be repeated. By default the key, or a number. */
+  /**
+   * Last path segment, by default the key or a number. Sending the same value again
+   * repeats a request that has no key.
+   */
   readonly pathSuffix?: string;
   /** Whether each target that runs the request crashes. */
   readonly crashesTarget?: boolean;
@@ -58,7 +61,7 @@
 const CALLER_TO_VM_DELAY_MS = 1;
 const CONNECT_TIMEOUT_MS = 2_000;
 /** Largest number of connections from one location to a VM. */
-const CONNECTIONS_PER_VM = 64;
+const MAX_CONNECTIONS_PER_VM = 64;
 /** Largest number of attempts of one request, fallbacks and retries included. */
 const MAX_ATTEMPTS = 6;
 /** Wait before a retry if the refusal does not specify one. */
@@ -113,12 +116,12 @@
     const key = options.key ??
       (kind.repeat === "keyed" ? `${this.#options.name}-${number}` : "");
     // A repeated request must be identical in every part, so path and body are derived from the key.
-    const name = options.pathSuffix ?? (key === "" ? number : key);
+    const pathSuffix = options.pathSuffix ?? (key === "" ? number : key);
     return {
       kind,
-      path: `${kind.path}/${name}`,
+      path: `${kind.path}/${pathSuffix}`,
       key,
-      body: Buffer.alloc(kind.bodyBytes, name),
+      body: Buffer.alloc(kind.bodyBytes, pathSuffix),
       crashesTarget: options.crashesTarget ?? false,
     };
   }
@@ -218,7 +221,7 @@
       return existing;
     }
     const pool = new Pool(`http://${address}`, {
-      connections: CONNECTIONS_PER_VM,
+      connections: MAX_CONNECTIONS_PER_VM,
       connect: {
         localAddress: this.#options.localAddress,
         timeout: CONNECT_TIMEOUT_MS,
@@ -271,7 +274,7 @@
   const waitMs = Math.min(requestedMs, MAX_RETRY_WAIT_MS);
   switch (result.outcome) {
     case "not-run":
-      // Not retried, so that the refusal is counted as the outcome of the request.
+      // Not retried, so that the refusal counts as the outcome; users try again later.
       return { kind: "done", outcome: "refused-not-run" };
     case "unknown":
       return kind.repeat === "unkeyed"
@@ -283,6 +286,6 @@
 }
 
 /** A refusal only concerns its own attempt; an earlier one may still have run. */
-function finalOutcome(last: Outcome, hadUnknown: boolean): Outcome {
-  return last !== "served" && hadUnknown ? "unknown" : last;
+function finalOutcome(lastOutcome: Outcome, hadUnknown: boolean): Outcome {
+  return lastOutcome !== "served" && hadUnknown ? "unknown" : lastOutcome;
 }
--- a/packages/standins/src/cluster/cluster.ts
+++ b/packages/standins/src/cluster/cluster.ts
@@ -111,7 +111,9 @@
 
   /** Stops all processes; deletes settings and logs unless `keepLogs` is true. */
   async stop(options: { keepLogs?: boolean } = {}): Promise<void> {
-    await Promise.all([...this.#operators.values()].map((op) => op.close()));
+    await Promise.all(
+      [...this.#operators.values()].map((client) => client.close()),
+    );
     await this.#processes.stop();
     if (options.keepLogs !== true) {
       rmSync(this.dir, { recursive: true, force: true });
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -134,20 +134,20 @@
   }
 
   /** Applies the call immediately; the returned function sends the response. */
-  async #apply(call: StoreRequest): Promise<(res: ServerResponse) => void> {
-    if (call.kind === "table") {
+  async #apply(request: StoreRequest): Promise<(res: ServerResponse) => void> {
+    if (request.kind === "table") {
       const result = await this.#callTable(
-        call.name,
-        JSON.parse(call.body.toString("utf8")),
+        request.name,
+        JSON.parse(request.body.toString("utf8")),
       );
       const status = result === undefined ? 404 : 200;
       return (res) => sendJson(res, status, result ?? {});
     }
-    if (call.isWrite) {
-      this.#objects.set(call.name, call.body);
+    if (request.isWrite) {
+      this.#objects.set(request.name, request.body);
       return (res) => sendJson(res, 200, {});
     }
-    const object = this.#objects.get(call.name);
+    const object = this.#objects.get(request.name);
     const status = object === undefined ? 404 : 200;
     return (res) => res.writeHead(status).end(object);
   }
--- a/packages/standins/src/presets_test.ts
+++ b/packages/standins/src/presets_test.ts
@@ -20,7 +20,7 @@
   },
 );
 
-test("bookings and objections rank before playlists and comments, and those before pages", () => {
+test("objections, bookings and purchases rank before comments and playlists, and those before pages", () => {
   const ranks = DEPLOYMENT_NAMES.map((deployment) =>
     readShippedPreset(deployment, "ordinary").classes
       .map(({ id, rank }) => `${rank} ${id}`)
--- a/packages/standins/src/process/planned_stop_test.ts
+++ b/packages/standins/src/process/planned_stop_test.ts
@@ -30,14 +30,16 @@
       load.start();
       // Waits until targets are warm: cold ones would refuse some requests for lack of slots.
       await sleep(4_000);
-      const late = caller.send(withWorkMs(BOOKING, 1_500), { via: address });
+      const slowBooking = caller.send(withWorkMs(BOOKING, 1_500), {
+        via: address,
+      });
       await sleep(500);
       cluster.daemon(stopped).signal("SIGTERM");
       const { code } = await cluster.daemon(stopped).exited;
       await cluster.unregisterVm(stopped);
       await load.stop();
       expect(code).toBe(0);
-      expect((await late).attempts).toEqual([{ kind: "served" }]);
+      expect((await slowBooking).attempts).toEqual([{ kind: "served" }]);
       const { brokenByVm, notTakenByVm } = caller.results;
       expect({ ...brokenByVm }).toEqual({});
       expect(notTakenByVm[address] ?? 0).toBe(0);
