--- a/packages/standins/src/platform/platform_test.ts
+++ b/packages/standins/src/platform/platform_test.ts
@@ -42,7 +42,7 @@
   return rows[0]!.version;
 }
 
-test("with lose-answers a failed write has taken effect, with down it has not", async () => {
+test("a failed write has taken effect with the fault lose-answers, but not with down", async () => {
   await withPlatform(async (url) => {
     await setFaults(url, { store: "lose-answers" });
     await expect(write(url, "a")).rejects.toThrow();
@@ -71,7 +71,7 @@
   });
 });
 
-test("the VM list lags by listLagMs", async () => {
+test("the VM list lags behind its current state by listLagMs", async () => {
   await withPlatform(async (url) => {
     await setFaults(url, { listLagMs: 60_000 });
     await request(`${url}/vms/e1`, { method: "PUT", body: '{"id":"e1"}' });
