--- a/packages/coordination/src/configuration/acceptance.ts
+++ b/packages/coordination/src/configuration/acceptance.ts
@@ -1,10 +1,11 @@
 /**
- * The decision core of accepting one change: which call to the table comes
- * next, and what the answers mean.
+ * State machine that gets one configuration change accepted: it decides on the
+ * next call to the table and interprets the responses.
  *
- * The transaction's condition is on a row whose version only grows. That is why sending the very same transaction again after a lost answer is safe:
- * it commits, or finds the operation's own row, or finds that the revision
- * moved on and then it can never commit any more.
+ * The transaction has a condition on a row whose version only grows. It is
+ * therefore safe to send the same transaction again after a lost response: it
+ * commits, or the operation's own row shows that it was committed before, or
+ * the revision has advanced, and then the transaction can never commit.
  *
  * @module
  */
@@ -18,74 +19,80 @@
   type ChangeOrigin,
   IN_FORCE_KEY,
   type InForce,
-  inForceOf,
+  inForceFromRow,
   operationKey,
   type OperationRow,
 } from "./in_force.ts";
 
-/** How an accepted or lost change ended. */
+/** The outcome of an attempt to get a change accepted. */
 export type AcceptOutcome<Value extends Json> =
   | { readonly kind: "accepted"; readonly revision: number }
-  /** Another change was accepted first; `winner` is its audit entry. */
+  /**
+   * Another change was accepted first; `winner` is the audit entry of the one
+   * that took the next revision.
+   */
   | {
     readonly kind: "superseded";
     readonly revision: number;
     readonly winner: AuditEntry<Value> | undefined;
   }
-  /** The operation id was used for another change, accepted as `revision`. */
+  /** The operation id belongs to another change, which was accepted as `revision`. */
   | { readonly kind: "operation-reused"; readonly revision: number }
-  /** The table could not be asked; nothing was written, nor will be. */
+  /** The table could not be reached; nothing was written or will be. */
   | { readonly kind: "not-accepted" }
-  /** The write may take effect. Asking again with the same operation id tells. */
+  /** The write may still take effect. A retry with the same operation id finds out. */
   | { readonly kind: "unknown" };
 
-/** What an acceptance does next. */
+/** The next step of an acceptance. */
 export type AcceptStep<Value extends Json> =
   | { readonly kind: "read"; readonly keys: readonly string[] }
   | { readonly kind: "transact"; readonly transaction: Transaction }
   | { readonly kind: "done"; readonly outcome: AcceptOutcome<Value> };
 
-/** What happened to the last step. */
+/** The result of the last step. */
 export type AcceptEvent =
   | { readonly kind: "rows"; readonly rows: readonly Row[] }
   | { readonly kind: "result"; readonly result: TransactionResult }
   | { readonly kind: "failed"; readonly effect: TableEffect }
-  /** The operator's call took too long. Comes between two steps, never during one. */
+  /** The operator's call timed out. Sent only between two steps, never during one. */
   | { readonly kind: "expired" };
 
-/** One change on its way. */
+/** State of one change that is to be accepted. */
 export interface Acceptance<Value extends Json> {
   readonly change: Change<Value>;
   readonly origin: ChangeOrigin;
   readonly changeDigest: string;
   readonly at: string;
-  /** Whether a transaction of this operation may have been sent whose answer never came. */
+  /** Whether a transaction of this operation may have been sent without a response. */
   readonly mayBeWritten: boolean;
   readonly step: AcceptStep<Value>;
 }
 
-/** What a new acceptance needs besides the change and its origin. */
+/** Options of {@link startAcceptance}. */
 export interface AcceptanceOptions {
-  /** Digest of the change, the same for each retry. */
+  /** Digest of the change; equal for all its retries. */
   readonly changeDigest: string;
-  /** Wall-clock time for the audit entry, ISO 8601. */
+  /** Wall-clock time for the audit entry, in ISO 8601. */
   readonly at: string;
 }
 
-/** Starts with reading what is in force and whether this operation was accepted before. */
+/**
+ * The initial state; its step reads what is in force and whether this operation
+ * was accepted before.
+ */
 export function startAcceptance<Value extends Json>(
   change: Change<Value>,
   origin: ChangeOrigin,
   options: AcceptanceOptions,
 ): Acceptance<Value> {
-  // An earlier sending under this id may still be on its way to the table. Only
-  // the very first one may ever say that nothing was, nor will be, written.
+  // A transaction of an earlier attempt under this id may still reach the table.
+  // Only the first attempt can rule out that anything was or will be written.
   const mayBeWritten = origin.firstSending !== true;
   const state = { change, origin, ...options, mayBeWritten };
   return { ...state, step: readStep(origin) };
 }
 
-/** The state after `event`; a finished acceptance stays as it is. */
+/** Returns the state after `event`; a finished acceptance does not change. */
 export function advanceAcceptance<Value extends Json>(
   state: Acceptance<Value>,
   event: AcceptEvent,
@@ -120,7 +127,10 @@
   return state.origin.seenRevision + 1;
 }
 
-/** The audit row of the revision that beat this one tells the loser who won. */
+/**
+ * Includes the audit row of the next revision: it names the winner if another
+ * change took that revision.
+ */
 function readStep(
   origin: ChangeOrigin,
 ): { readonly kind: "read"; readonly keys: readonly string[] } {
@@ -134,15 +144,18 @@
   };
 }
 
-/** A failed read is repeated; a failed write is looked up, since it may have taken effect. */
+/**
+ * Reads again: after a failed read to repeat it, after a failed write because
+ * it may have taken effect.
+ */
 function afterFailure<Value extends Json>(
   state: Acceptance<Value>,
   effect: TableEffect,
 ): Acceptance<Value> {
-  const written = state.step.kind === "transact" && effect === "unknown";
+  const mayBeWritten = state.step.kind === "transact" && effect === "unknown";
   return {
     ...state,
-    mayBeWritten: state.mayBeWritten || written,
+    mayBeWritten: state.mayBeWritten || mayBeWritten,
     step: readStep(state.origin),
   };
 }
@@ -152,8 +165,8 @@
   rows: readonly Row[],
 ): AcceptStep<Value> {
   const [inForceRow, operationRow, auditRow] = rows as [Row, Row, Row];
-  // The operation's own row comes first: after a lost answer the revision has
-  // moved because of this very change, and it would be told that it lost.
+  // The operation's own row is checked first: after a lost response, this change
+  // itself may have advanced the revision, and must not be reported as superseded.
   if (operationRow.version !== ABSENT) {
     const operation = operationRow.value as unknown as OperationRow;
     const kind = operation.changeDigest === state.changeDigest
@@ -161,7 +174,7 @@
       : "operation-reused";
     return { kind: "done", outcome: { kind, revision: operation.revision } };
   }
-  const inForce = inForceOf<Value>(inForceRow);
+  const inForce = inForceFromRow<Value>(inForceRow);
   const revision = inForce?.revision ?? 0;
   if (revision !== state.origin.seenRevision) {
     const winner = auditRow.value as unknown as AuditEntry<Value> | null;
@@ -194,7 +207,7 @@
     who,
     why,
     at: state.at,
-    before: inForceOf<Value>(inForceRow)?.value ?? null,
+    before: inForceFromRow<Value>(inForceRow)?.value ?? null,
     after: change.value,
   };
   const operation: OperationRow = {
@@ -202,8 +215,8 @@
     changeDigest: state.changeDigest,
   };
   return {
-    // Each accepted change moves this row on, so the one condition keeps out
-    // other changes and an earlier sending of this one alike.
+    // Each accepted change increments this row's version, so this one condition
+    // excludes both other changes and an earlier attempt at this one.
     conditions: [{ key: IN_FORCE_KEY, version: inForceRow.version }],
     writes: [
       { key: IN_FORCE_KEY, value: inForce as unknown as Json },
--- a/packages/coordination/src/configuration/configuration_test.ts
+++ b/packages/coordination/src/configuration/configuration_test.ts
@@ -18,9 +18,9 @@
 }
 
 describe("ConfigurationStore", () => {
-  // Two operators switch at the same moment. The one who comes second must not
-  // undo the first one's switch, and wants to know whose it was.
-  it("tells the loser of a race who won", async () => {
+  // Two operators change the configuration at the same time. The second change
+  // must not undo the first one, and its operator needs to know who made that.
+  it("reports the winning change to the operator whose change was superseded", async () => {
     const store = new ConfigurationStore<string>(new FaultyTable());
     const [first, second] = await Promise.all([
       store.accept({ value: "peak" }, origin("ana")),
@@ -34,26 +34,26 @@
     expect(await store.audit({ limit: 10 })).toHaveLength(1);
   });
 
-  // The table is down, then an answer is lost after the write: the operator
-  // must hear of the acceptance that did happen, and of none that did not.
-  it("tells the truth after refused and lost calls", async () => {
+  // The table is down, later a response is lost after the write. A change must
+  // be reported as accepted exactly if it was written.
+  it("reports the actual outcome after refused calls and lost responses", async () => {
     const table = new FaultyTable();
     const store = new ConfigurationStore<string>(table);
     table.faults = Array(100).fill("refuse");
-    const refused = store.accept({ value: "a" }, origin("ana"));
+    const whileDown = store.accept({ value: "a" }, origin("ana"));
     await vi.advanceTimersByTimeAsync(11_000);
-    expect(await refused).toEqual({ kind: "not-accepted" });
+    expect(await whileDown).toEqual({ kind: "not-accepted" });
     table.faults = ["none", "lose-after"];
-    const lost = store.accept({ value: "a" }, origin("ana"));
+    const afterLoss = store.accept({ value: "a" }, origin("ana"));
     await vi.advanceTimersByTimeAsync(11_000);
-    expect(await lost).toEqual({ kind: "accepted", revision: 1 });
+    expect(await afterLoss).toEqual({ kind: "accepted", revision: 1 });
     const other = await store.accept({ value: "b" }, origin("ana"));
     expect(other.kind).toBe("operation-reused");
   });
 
-  // Operators race while calls overtake each other and answers get lost. What
-  // each was told has to agree with the audit trail.
-  it("agrees with its audit trail under any faults and order", async () => {
+  // Operators race while calls are reordered and responses are lost. The outcome
+  // reported to each operator must agree with the audit trail.
+  it("reports outcomes that agree with the audit trail for any faults and order", async () => {
     const fault = fc.constantFrom<Fault>(
       "none",
       "refuse",
@@ -85,11 +85,11 @@
           const trail = await new ConfigurationStore<string>(table)
             .audit({ limit: 10 });
           for (const [index, outcome] of outcomes.entries()) {
-            const isIn = trail.some(({ who }) => who === names[index]);
-            expect([outcome.kind, isIn]).toEqual([
+            const isInTrail = trail.some(({ who }) => who === names[index]);
+            expect([outcome.kind, isInTrail]).toEqual([
               outcome.kind,
               outcome.kind === "accepted" ||
-              (outcome.kind === "unknown" && isIn),
+              (outcome.kind === "unknown" && isInTrail),
             ]);
           }
           expect(trail.length).toBeLessThanOrEqual(1);
@@ -101,10 +101,10 @@
 });
 
 describe("ConfigurationFollower", () => {
-  // A VM boots while the table is down and learns from a peer that knows more
-  // than the next one. It must run the newer revision, and never go back when
-  // an older one arrives late.
-  it("boots from its peers in an outage and never goes back", async () => {
+  // A VM starts while the table is down and receives two revisions from its
+  // peers, the older one last. It must run the newer revision and ignore the
+  // older one.
+  it("starts from its peers during an outage and ignores older revisions", async () => {
     const table = new FaultyTable();
     const store = new ConfigurationStore<string>(table);
     await store.accept({ value: "one" }, origin("ana"));
@@ -127,7 +127,7 @@
     expect(effects.map(({ kind }) => kind)).toEqual(["adopt", "fetch"]);
   });
 
-  it("guards a plan with the revision that it was made for", async () => {
+  it("refuses to write a plan made for a replaced revision", async () => {
     const table = new FaultyTable();
     const store = new ConfigurationStore<string>(table);
     await store.accept({ value: "one" }, origin("ana"));
--- a/packages/coordination/src/configuration/follower.ts
+++ b/packages/coordination/src/configuration/follower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one VM's configuration up to date: polls the table where this VM is a
- * reader, and takes what peers push.
+ * Keeps one VM's configuration up to date: polls the table if this VM is one of
+ * its zone's readers, and applies what peers push.
  *
  * @module
  */
@@ -17,14 +17,20 @@
 import type { InForce } from "./in_force.ts";
 import type { ConfigurationStore } from "./store.ts";
 
-/** Three polls a second by two readers in each of 25 zones take 150 of the table's 2,000 reads. */
+/**
+ * Three polls a second by two readers in each of 25 zones are 150 of the
+ * table's 2,000 reads a second.
+ */
 const POLL_MS = 333;
 
 /** Options of a {@link ConfigurationFollower}. */
 export interface FollowerOptions<Value extends Json> {
-  /** Hears every effect: adopt, fetch from a peer, or tell the operators. */
+  /**
+   * Called with each action to perform: adopt a configuration, fetch one from a
+   * peer, or notify the operators.
+   */
   readonly onEffect: (effect: FollowerEffect<Value>) => void;
-  /** Time between the end of a poll and the next one; default 333 ms. */
+  /** Delay between the end of a poll and the next one; 333 ms by default. */
   readonly pollMs?: number;
 }
 
@@ -34,7 +40,7 @@
   readonly #onEffect: (effect: FollowerEffect<Value>) => void;
   readonly #pollMs: number;
   #state: FollowerState<Value> = newFollower();
-  #polling = false;
+  #isPolling = false;
   #timer: ReturnType<typeof setTimeout> | undefined;
 
   constructor(
@@ -46,36 +52,36 @@
     this.#pollMs = options.pollMs ?? POLL_MS;
   }
 
-  /** What this VM runs; undefined while it is not ready. */
+  /** The configuration that this VM runs; undefined while it is not ready. */
   get inForce(): InForce<Value> | undefined {
     return this.#state.inForce;
   }
 
-  /** How old the knowledge is that this is the latest, in ms. */
+  /** Time in ms since this VM's revision was last known to be the latest. */
   get ageMs(): number {
     return knowledgeAgeMs(this.#state, performance.now());
   }
 
-  /** Polls from now on, whenever this VM is one of its zone's readers. */
+  /** Starts polling; for a VM that is one of its zone's readers. */
   startPolling(): void {
-    if (!this.#polling) {
-      this.#polling = true;
+    if (!this.#isPolling) {
+      this.#isPolling = true;
       void this.#pollAndWait();
     }
   }
 
-  /** Polls no more; what peers push is still taken. */
+  /** Stops polling; configurations pushed by peers are still applied. */
   stopPolling(): void {
-    this.#polling = false;
+    this.#isPolling = false;
     clearTimeout(this.#timer);
   }
 
-  /** Reads the table once. False when the table could not be asked. */
+  /** Reads the table once. Returns false if the table could not be read. */
   async poll(): Promise<boolean> {
     const startedAt = performance.now();
     try {
       const inForce = await this.#store.read();
-      this.#take({ kind: "table", inForce, startedAt });
+      this.#handle({ kind: "table", inForce, startedAt });
       return true;
     } catch (err) {
       if (err instanceof TableError) {
@@ -85,17 +91,20 @@
     }
   }
 
-  /** A peer pushed or answered what it runs; `ageMs` is the age of its knowledge. */
+  /**
+   * Handles a configuration that a peer pushed or returned; `ageMs` is the time
+   * since the peer knew it to be the latest.
+   */
   hearPeer(inForce: InForce<Value>, ageMs: number): void {
-    this.#take({ kind: "peer", inForce, ageMs });
+    this.#handle({ kind: "peer", inForce, ageMs });
   }
 
-  /** A heartbeat carried a peer's revision. */
+  /** Handles a peer's revision that came with a heartbeat. */
   hearRevision(revision: number): void {
-    this.#take({ kind: "heard", revision });
+    this.#handle({ kind: "heard", revision });
   }
 
-  #take(event: FollowerEvent<Value>): void {
+  #handle(event: FollowerEvent<Value>): void {
     const result = advanceFollower(this.#state, event, performance.now());
     this.#state = result.state;
     result.effects.forEach(this.#onEffect);
@@ -103,7 +112,7 @@
 
   async #pollAndWait(): Promise<void> {
     await this.poll();
-    if (this.#polling) {
+    if (this.#isPolling) {
       this.#timer = setTimeout(() => void this.#pollAndWait(), this.#pollMs);
     }
   }
--- a/packages/coordination/src/configuration/follower_core.ts
+++ b/packages/coordination/src/configuration/follower_core.ts
@@ -1,6 +1,7 @@
 /**
- * What one VM knows of the configuration. It only ever moves to a higher
- * revision, whoever tells it, and knows how old its knowledge is.
+ * State machine that tracks the configuration on one VM. It moves only to
+ * higher revisions, from any source, and tracks how long ago its revision was
+ * last confirmed as the latest.
  *
  * @module
  */
@@ -8,60 +9,66 @@
 import type { Json } from "../table.ts";
 import type { InForce } from "./in_force.ts";
 
-/** The knowledge of one VM. Times are of its own monotonic clock, in ms. */
+/** The configuration as known to one VM. Times are in ms on its own monotonic clock. */
 export interface FollowerState<Value extends Json> {
-  /** Undefined until the table or a peer told something: the VM is not ready. */
+  /** The configuration to run; undefined, and the VM not ready, until one was received. */
   readonly inForce: InForce<Value> | undefined;
-  /** The latest moment at which the table itself is known to have said so. */
+  /**
+   * The latest time at which the table is known to have had `inForce` as its
+   * latest revision.
+   */
   readonly currentAt: number;
-  /** The highest revision heard of, perhaps without its value. */
+  /** The highest revision known to exist; its value may not have been received yet. */
   readonly heardRevision: number;
 }
 
-/** What a follower hears. */
+/** Input of the state machine. */
 export type FollowerEvent<Value extends Json> =
-  /** The table answered a poll that began at `startedAt`. */
+  /** The table responded to a poll that started at `startedAt`. */
   | {
     readonly kind: "table";
     readonly inForce: InForce<Value> | undefined;
     readonly startedAt: number;
   }
-  /** A peer pushed or answered; its own knowledge was `ageMs` old. */
+  /** A peer pushed or returned its configuration, confirmed as the latest `ageMs` ago. */
   | {
     readonly kind: "peer";
     readonly inForce: InForce<Value>;
     readonly ageMs: number;
   }
-  /** A heartbeat carried only the revision. */
+  /** A heartbeat carried a peer's revision without its value. */
   | { readonly kind: "heard"; readonly revision: number };
 
-/** What the follower's task has to do. */
+/** Actions for the follower's task to perform. */
 export type FollowerEffect<Value extends Json> =
-  /** Run this from now on, and push it on. */
+  /** Run this configuration from now on, and push it to peers. */
   | { readonly kind: "adopt"; readonly inForce: InForce<Value> }
-  /** Somebody has a higher revision: get its value. */
+  /** A peer has the higher revision `revision`; fetch its value. */
   | { readonly kind: "fetch"; readonly revision: number }
   /**
-   * The table answered a lower revision than one that was accepted: it was set
-   * back or answers from an old copy. Operators must hear of it; the VM keeps
-   * what it has.
+   * The table returned a lower revision than one already accepted: it was
+   * restored to an older state or serves an outdated copy. Operators must be
+   * notified; the VM keeps its configuration.
    */
   | { readonly kind: "table-behind"; readonly revision: number }
-  /** One revision with two operations: the table broke its promise. */
+  /** One revision exists for two operations: the table violated its guarantees. */
   | { readonly kind: "diverged"; readonly revision: number };
 
-/** A state with what is to be done. */
+/** The next state, with the actions to perform. */
 export interface FollowerResult<Value extends Json> {
   readonly state: FollowerState<Value>;
   readonly effects: readonly FollowerEffect<Value>[];
 }
 
-/** A VM that knows nothing yet. */
+/** State of a VM that has received no configuration yet. */
 export function newFollower<Value extends Json>(): FollowerState<Value> {
   return { inForce: undefined, currentAt: -Infinity, heardRevision: 0 };
 }
 
-/** Time since what this VM runs was known to be the latest; Infinity when it never was. */
+/**
+ * Time in ms since this VM's revision was last known to be the latest; Infinity
+ * if it never was.
+ */
 export function knowledgeAgeMs(
   state: FollowerState<Json>,
   now: number,
@@ -69,7 +76,7 @@
   return now - state.currentAt;
 }
 
-/** The state after `event`. */
+/** Returns the state and actions after `event`. */
 export function advanceFollower<Value extends Json>(
   state: FollowerState<Value>,
   event: FollowerEvent<Value>,
@@ -79,9 +86,9 @@
     case "table":
       return afterTable(state, event.inForce, event.startedAt);
     case "peer":
-      return learn(state, event.inForce, now - event.ageMs);
+      return applyInForce(state, event.inForce, now - event.ageMs);
     case "heard":
-      return hear(state, event.revision);
+      return applyHeardRevision(state, event.revision);
   }
 }
 
@@ -100,25 +107,31 @@
   }
   return inForce === undefined
     ? { state, effects: [] }
-    : learn(state, inForce, startedAt);
+    : applyInForce(state, inForce, startedAt);
 }
 
-/** Takes a higher revision; the same one may only make the knowledge fresher. */
-function learn<Value extends Json>(
+/**
+ * Adopts a higher revision; for the same one only advances the time of its last
+ * confirmation.
+ */
+function applyInForce<Value extends Json>(
   state: FollowerState<Value>,
   inForce: InForce<Value>,
   currentAt: number,
 ): FollowerResult<Value> {
-  const mine = revisionOf(state);
-  if (inForce.revision < mine) {
+  const localRevision = revisionOf(state);
+  if (inForce.revision < localRevision) {
     return { state, effects: [] };
   }
-  if (inForce.revision === mine) {
+  if (inForce.revision === localRevision) {
     if (inForce.operationId !== state.inForce?.operationId) {
-      return { state, effects: [{ kind: "diverged", revision: mine }] };
+      return {
+        state,
+        effects: [{ kind: "diverged", revision: localRevision }],
+      };
     }
-    const freshest = Math.max(state.currentAt, currentAt);
-    return { state: { ...state, currentAt: freshest }, effects: [] };
+    const latest = Math.max(state.currentAt, currentAt);
+    return { state: { ...state, currentAt: latest }, effects: [] };
   }
   const heardRevision = Math.max(state.heardRevision, inForce.revision);
   return {
@@ -127,7 +140,7 @@
   };
 }
 
-function hear<Value extends Json>(
+function applyHeardRevision<Value extends Json>(
   state: FollowerState<Value>,
   revision: number,
 ): FollowerResult<Value> {
--- a/packages/coordination/src/configuration/in_force.ts
+++ b/packages/coordination/src/configuration/in_force.ts
@@ -1,5 +1,5 @@
 /**
- * What is in force, and the rows that an accepted change writes.
+ * The configuration in force, and the rows that an accepted change writes.
  *
  * @module
  */
@@ -7,62 +7,68 @@
 import type { OperationId } from "@poplarthread/ids";
 import type { Condition, Json, Row, Write } from "../table.ts";
 
-/** Key of the one row that says what is in force. */
+/** Key of the row that holds the configuration in force. */
 export const IN_FORCE_KEY = "config/in-force";
-/** Prefix of the audit rows, in order of revision. */
+/** Prefix of the audit rows' keys, which sort by revision. */
 export const AUDIT_PREFIX = "audit/";
 
-/** 12 digits sort as text up to 10^12 revisions: a million years at 2,500 a day. */
+/**
+ * Digits of a zero-padded revision in a key. Sorts as text up to 10^12
+ * revisions: a million years at 2,500 a day.
+ */
 const REVISION_DIGITS = 12;
 
-/** A value under its revision. Only ever replaced by a higher revision. */
+/** A value and its revision. Only a higher revision replaces it. */
 export interface InForce<Value extends Json> {
-  /** Grows by one with each accepted change; 0 means that nothing was accepted yet. */
+  /** Incremented with each accepted change; 0 before the first. */
   readonly revision: number;
   /** The operation that put it in force. */
   readonly operationId: OperationId;
   readonly value: Value;
 }
 
-/** What an operator wants in force. */
+/** A change that an operator requests. */
 export interface Change<Value extends Json> {
   readonly value: Value;
-  /** Further rows that are written with it or not at all, for example a new version of a preset. */
+  /**
+   * Further rows that are written in the same transaction, for example a new
+   * version of a preset.
+   */
   readonly rows?: readonly Write[];
 }
 
-/** Who changes what they saw, and why. */
+/** Who requests a change, why, and based on which revision. */
 export interface ChangeOrigin {
-  /** The revision that the operator looked at; 0 for the very first change. */
+  /** The revision that the change is based on; 0 for the first change. */
   readonly seenRevision: number;
-  /** A retry of the same change carries the same id. */
+  /** The same for all retries of a change. */
   readonly operationId: OperationId;
   /**
-   * True only if nothing was ever sent under this operation id before. Without
-   * it an outage is answered "unknown", never "not-accepted".
+   * True only if no request was ever sent under this operation id before.
+   * Otherwise the outcome during an outage is "unknown", never "not-accepted".
    */
   readonly firstSending?: boolean;
   readonly who: string;
   readonly why: string;
 }
 
-/** One line of the audit trail. */
+/** An entry of the audit trail. */
 export interface AuditEntry<Value extends Json> {
   readonly revision: number;
   readonly operationId: OperationId;
   readonly who: string;
   readonly why: string;
-  /** Wall-clock time of the VM that took the change, ISO 8601; for people only. */
+  /** Wall-clock time of the VM that handled the change, in ISO 8601; only for display. */
   readonly at: string;
   /** Null before the first change. */
   readonly before: Value | null;
   readonly after: Value;
 }
 
-/** The outcome row of an operation: present once it was accepted, never before. */
+/** The outcome row of an operation; it exists only if the operation was accepted. */
 export interface OperationRow {
   readonly revision: number;
-  /** Tells a retry from another change under the same id. */
+  /** Distinguishes a retry from another change with the same id. */
   readonly changeDigest: string;
 }
 
@@ -76,8 +82,8 @@
   return AUDIT_PREFIX + String(revision).padStart(REVISION_DIGITS, "0");
 }
 
-/** What the row says; undefined while nothing was ever accepted. */
-export function inForceOf<Value extends Json>(
+/** The configuration in the row; undefined before the first accepted change. */
+export function inForceFromRow<Value extends Json>(
   row: Row,
 ): InForce<Value> | undefined {
   return row.value === null
@@ -86,9 +92,9 @@
 }
 
 /**
- * Holds while this is in force: the row is written once for each revision and
- * never deleted, so its version is the revision. A plan that is written with
- * it can never be one for a configuration that was replaced.
+ * The condition that `inForce` is still in force. The row is written once per
+ * revision and never deleted, so its version is the revision. A plan written
+ * under this condition cannot be based on a replaced configuration.
  */
 export function stillInForce(inForce: InForce<Json>): Condition {
   return { key: IN_FORCE_KEY, version: inForce.revision };
--- a/packages/coordination/src/configuration/mod.ts
+++ b/packages/coordination/src/configuration/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Versioned configuration: one value in force, changed by one conditional
- * transaction, followed by every VM.
+ * Versioned configuration: one value in force, changed by a conditional
+ * transaction and followed by every VM.
  *
  * @module
  */
--- a/packages/coordination/src/configuration/store.ts
+++ b/packages/coordination/src/configuration/store.ts
@@ -1,5 +1,6 @@
 /**
- * Accepts changes and reads what is in force, against the table.
+ * Writes accepted changes to the table, and reads the configuration in force
+ * and the audit trail from it.
  *
  * @module
  */
@@ -21,28 +22,28 @@
   type ChangeOrigin,
   IN_FORCE_KEY,
   type InForce,
-  inForceOf,
+  inForceFromRow,
 } from "./in_force.ts";
 
-/** An operator who waits longer than this for an answer asks again anyway. */
+/** An operator whose request takes longer than this retries it anyway. */
 const ACCEPT_TIMEOUT_MS = 10_000;
-/** Between two calls to a table that fails; half a second adds two calls a second at most. */
+/** Delay after a failed call to the table; limits the added load to two calls a second. */
 const RETRY_MS = 500;
 
 /** Options of a {@link ConfigurationStore}. */
 export interface ConfigurationStoreOptions {
-  /** Longest time until `accept` says "unknown" or "not-accepted"; default 10 s. */
+  /** Time after which `accept` returns "unknown" or "not-accepted"; 10 s by default. */
   readonly acceptTimeoutMs?: number;
 }
 
-/** A page of the audit trail. */
+/** Selects a page of the audit trail. */
 export interface AuditPage {
-  /** Only entries after this revision. */
+  /** Only entries with a higher revision than this; 0 by default. */
   readonly afterRevision?: number;
   readonly limit: number;
 }
 
-/** The versioned configuration as it stands in the table. */
+/** The versioned configuration stored in the table. */
 export class ConfigurationStore<Value extends Json> {
   readonly #table: Table;
   readonly #acceptTimeoutMs: number;
@@ -52,15 +53,18 @@
     this.#acceptTimeoutMs = options.acceptTimeoutMs ?? ACCEPT_TIMEOUT_MS;
   }
 
-  /** What is in force; undefined before the first change. Throws TableError. */
+  /**
+   * Reads the configuration in force; undefined before the first change. Throws
+   * TableError.
+   */
   async read(): Promise<InForce<Value> | undefined> {
     const [row] = await this.#table.read([IN_FORCE_KEY]);
-    return inForceOf(row!);
+    return inForceFromRow(row!);
   }
 
   /**
-   * Puts a change in force if the operator saw the latest revision. Never
-   * throws for a table that is out of reach: the outcome says what is known.
+   * Puts a change in force if it is based on the latest revision. An unreachable
+   * table is not an error: it shows in the outcome.
    */
   async accept(
     change: Change<Value>,
@@ -84,7 +88,7 @@
     return state.step.outcome;
   }
 
-  /** Audit entries in order of revision. Throws TableError. */
+  /** Reads audit entries in order of revision. Throws TableError. */
   async audit(page: AuditPage): Promise<readonly AuditEntry<Value>[]> {
     const { afterRevision = 0, limit } = page;
     const after = auditKey(afterRevision);
--- a/packages/coordination/src/held_back/held_back.ts
+++ b/packages/coordination/src/held_back/held_back.ts
@@ -1,47 +1,68 @@
 /**
- * Stops a request that crashes each target it reaches.
+ * Holds back requests that crash each target they reach.
  *
- * A fingerprint that was in flight on two targets when they died is held back
- * on all VMs for a bounded time. A request that merely shared a target with it
- * is told apart by two rules: a fingerprint that was ever completed is
- * innocent, and two suspects are never put on the same target (see
- * {@link HeldBack.verdict}), so that the second death names one of them.
+ * A fingerprint that was in flight on two targets when they crashed is held
+ * back on all VMs for a limited time. Two rules protect a request that merely
+ * shared a target with it: a fingerprint that a target has completed is not
+ * held back, and two suspects are never sent to the same target (see
+ * {@link HeldBack.verdict}), so that the second crash implicates only one of
+ * them.
  *
  * @module
  */
 
 import type { Brand, TargetId } from "@poplarthread/ids";
 
-/** What makes two sendings the same request: caller and key, or caller, method, path and body digest. */
+/**
+ * Identifies a request across retries: caller and key, or caller, method, path
+ * and body digest.
+ */
 export type Fingerprint = Brand<"Fingerprint">;
 
-/** Deaths that convict; one coincidence is bad luck, which every slot of a target shares. */
-const DEATHS_TO_HOLD = 2;
-/** How long a conviction or a suspicion lasts: time for an operator to see it and for callers to give up. */
-const LIFETIME_MS = 600_000;
-/** Entries at most. 4,096 of about 300 bytes take 1.2 MB; the oldest gives way. */
+/**
+ * Crashes after which a request is held back. One is no proof: every request on
+ * a crashed target was in flight then.
+ */
+const MIN_CRASHES = 2;
+/** Lifetime of an entry: enough for an operator to notice it and for callers to give up. */
+const ENTRY_LIFETIME_MS = 600_000;
+/**
+ * Limit of the table; the oldest entry is evicted. 4,096 entries of about 300
+ * bytes take 1.2 MB.
+ */
 const MAX_ENTRIES = 4_096;
-/** More deaths than this in {@link BURST_MS} are a rack, a zone or a release, not a request. */
-const MAX_DEATHS_IN_BURST = 3;
-/** A caller sends again within seconds, a failing zone takes its targets within one heartbeat timeout. */
-const BURST_MS = 2_000;
+/**
+ * More crashes than this within {@link CRASH_BURST_MS} are due to a rack, a
+ * zone or a release, not to a request.
+ */
+const MAX_CRASHES_IN_BURST = 3;
+/**
+ * Callers retry after seconds, while a failing zone loses its targets within
+ * one heartbeat timeout.
+ */
+const CRASH_BURST_MS = 2_000;
 
-/** Whether a request may run. */
+/** Whether a request may be sent to a target. */
 export type HeldBackVerdict =
   | { readonly kind: "free" }
-  /** It was on a target that died: not on a target with another suspect. */
+  /**
+   * It was in flight on a target that crashed; do not send it to a target that
+   * runs another suspect.
+   */
   | { readonly kind: "suspect" }
-  /** Refuse it, at once; it may be sent again after `retryAfterMs`. */
+  /** Refuse it immediately; it may be retried after `retryAfterMs`. */
   | { readonly kind: "held-back"; readonly retryAfterMs: number };
 
-/** What the VMs tell each other; `remainingMs` is the time left of the entry. */
+/** Messages between VMs; `remainingMs` is the remaining lifetime of the entry. */
 export type HeldBackMessage =
+  /** The request was in flight on `target` when that crashed. */
   | {
     readonly kind: "coincided";
     readonly fingerprint: Fingerprint;
     readonly target: TargetId;
     readonly remainingMs: number;
   }
+  /** A target completed the request. */
   | {
     readonly kind: "completed";
     readonly fingerprint: Fingerprint;
@@ -49,57 +70,65 @@
   };
 
 interface Entry {
-  readonly deaths: ReadonlySet<TargetId>;
-  readonly completed: boolean;
+  readonly crashedTargets: ReadonlySet<TargetId>;
+  readonly isCompleted: boolean;
   readonly expiresAt: number;
 }
 
-/** One VM's table of suspects and held-back requests. */
+/** One VM's table of suspected and held-back requests. */
 export class HeldBack {
   readonly #entries = new Map<Fingerprint, Entry>();
-  #recentDeaths: number[] = [];
+  #recentCrashes: number[] = [];
 
-  /** Entries in the table. */
+  /** Number of entries in the table. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Whether a request with this fingerprint may run now. */
+  /** Returns whether a request with this fingerprint may be sent now. */
   verdict(fingerprint: Fingerprint, now: number): HeldBackVerdict {
-    const entry = this.#live(fingerprint, now);
-    if (entry === undefined || entry.completed || entry.deaths.size === 0) {
+    const entry = this.#unexpired(fingerprint, now);
+    if (
+      entry === undefined || entry.isCompleted ||
+      entry.crashedTargets.size === 0
+    ) {
       return { kind: "free" };
     }
-    return entry.deaths.size < DEATHS_TO_HOLD
+    return entry.crashedTargets.size < MIN_CRASHES
       ? { kind: "suspect" }
       : { kind: "held-back", retryAfterMs: entry.expiresAt - now };
   }
 
   /**
-   * A target died with these requests sent and not answered. Answers what the
-   * peers must hear.
+   * Records that a target crashed with these requests in flight. Returns the
+   * messages to send to the peers.
    */
   targetDied(
     target: TargetId,
     inFlight: readonly Fingerprint[],
     now: number,
   ): readonly HeldBackMessage[] {
-    this.#recentDeaths = this.#recentDeaths.filter((at) => now - at < BURST_MS);
-    this.#recentDeaths.push(now);
-    if (this.#recentDeaths.length > MAX_DEATHS_IN_BURST) {
+    this.#recentCrashes = this.#recentCrashes.filter((at) =>
+      now - at < CRASH_BURST_MS
+    );
+    this.#recentCrashes.push(now);
+    if (this.#recentCrashes.length > MAX_CRASHES_IN_BURST) {
       return [];
     }
     const messages = inFlight.map((fingerprint) => ({
       kind: "coincided" as const,
       fingerprint,
       target,
-      remainingMs: LIFETIME_MS,
+      remainingMs: ENTRY_LIFETIME_MS,
     }));
     messages.forEach((message) => this.hear(message, now));
     return messages;
   }
 
-  /** A target answered this request in full: it crashes nobody. */
+  /**
+   * Records that a target completed this request, which shows that it does not
+   * crash targets. Returns the messages to send to the peers.
+   */
   completed(
     fingerprint: Fingerprint,
     now: number,
@@ -107,29 +136,29 @@
     if (this.verdict(fingerprint, now).kind === "free") {
       return [];
     }
-    const remainingMs = LIFETIME_MS;
+    const remainingMs = ENTRY_LIFETIME_MS;
     const message = { kind: "completed", fingerprint, remainingMs } as const;
     this.hear(message, now);
     return [message];
   }
 
-  /** A peer's message, in any order and any number of times. */
+  /** Applies a peer's message; messages may arrive in any order and repeatedly. */
   hear(message: HeldBackMessage, now: number): void {
     const { fingerprint, remainingMs } = message;
-    const old = this.#live(fingerprint, now);
-    const deaths = new Set(old?.deaths);
+    const old = this.#unexpired(fingerprint, now);
+    const crashedTargets = new Set(old?.crashedTargets);
     if (message.kind === "coincided") {
-      deaths.add(message.target);
+      crashedTargets.add(message.target);
     }
-    const heard = now + Math.min(remainingMs, LIFETIME_MS);
+    const expiresAt = now + Math.min(remainingMs, ENTRY_LIFETIME_MS);
     this.#put(fingerprint, {
-      deaths,
-      completed: (old?.completed ?? false) || message.kind === "completed",
-      expiresAt: Math.max(old?.expiresAt ?? 0, heard),
+      crashedTargets,
+      isCompleted: (old?.isCompleted ?? false) || message.kind === "completed",
+      expiresAt: Math.max(old?.expiresAt ?? 0, expiresAt),
     });
   }
 
-  #live(fingerprint: Fingerprint, now: number): Entry | undefined {
+  #unexpired(fingerprint: Fingerprint, now: number): Entry | undefined {
     const entry = this.#entries.get(fingerprint);
     if (entry !== undefined && entry.expiresAt <= now) {
       this.#entries.delete(fingerprint);
@@ -138,7 +167,7 @@
     return entry;
   }
 
-  /** Keeps the map in order of last change, so that the first one is the oldest. */
+  /** Keeps the map ordered by last update, so that its first entry is the oldest. */
   #put(fingerprint: Fingerprint, entry: Entry): void {
     this.#entries.delete(fingerprint);
     this.#entries.set(fingerprint, entry);
--- a/packages/coordination/src/held_back/held_back_test.ts
+++ b/packages/coordination/src/held_back/held_back_test.ts
@@ -7,7 +7,7 @@
   type HeldBackMessage,
 } from "./held_back.ts";
 
-const LIFETIME_MS = 600_000;
+const ENTRY_LIFETIME_MS = 600_000;
 
 function fingerprint(name: string): Fingerprint {
   return name as Fingerprint;
@@ -18,34 +18,35 @@
 }
 
 describe("HeldBack", () => {
-  // One request crashes whatever target runs it, and its caller sends it again
-  // through another VM each time. Without the rule it takes the service down
-  // target by target; with a rule too wide, its neighbours are refused with it.
-  it("holds back after two deaths on all VMs, and nobody else", () => {
+  // A request crashes each target that runs it, and its caller retries it through
+  // another VM each time. Unless it is held back, it crashes one target of the
+  // service after the other; requests that merely shared a target must not be
+  // held back with it.
+  it("holds back only the culprit on all VMs after two crashes", () => {
     const [a, b, c] = [new HeldBack(), new HeldBack(), new HeldBack()] as const;
     const poison = fingerprint("poison");
-    const near = fingerprint("near");
-    const first = a.targetDied(target("t1"), [poison, near], 0);
+    const bystander = fingerprint("bystander");
+    const first = a.targetDied(target("t1"), [poison, bystander], 0);
     for (const message of first) {
       b.hear(message, 10);
       c.hear(message, 10);
     }
     expect(b.verdict(poison, 20).kind).toBe("suspect");
     const second = b.targetDied(target("t2"), [poison], 5_000);
-    // The news may come twice, and before the older news.
+    // Messages may be repeated and arrive before older ones.
     [...second, ...second, ...first].forEach((message) =>
       c.hear(message, 5_010)
     );
     for (const vm of [b, c]) {
       expect(vm.verdict(poison, 5_020).kind).toBe("held-back");
-      expect(vm.verdict(near, 5_020).kind).toBe("suspect");
+      expect(vm.verdict(bystander, 5_020).kind).toBe("suspect");
     }
-    expect(c.verdict(poison, 5_010 + LIFETIME_MS).kind).toBe("free");
+    expect(c.verdict(poison, 5_010 + ENTRY_LIFETIME_MS).kind).toBe("free");
   });
 
-  // A page that many read is in flight on almost any target that dies. Were it
-  // held back, everybody would lose the page.
-  it("never holds back what a target has completed", () => {
+  // A frequently requested page is in flight on almost any target that crashes.
+  // If it were held back, all its readers would be refused.
+  it("never holds back a request that a target has completed", () => {
     const vm = new HeldBack();
     const page = fingerprint("page");
     vm.targetDied(target("t1"), [page], 0);
@@ -55,9 +56,9 @@
     expect(vm.verdict(page, 10_001).kind).toBe("free");
   });
 
-  // A zone goes, and with it many targets at once. None of the requests that
-  // were in flight there is to blame, and their callers send them again.
-  it("blames no request for targets that die together", () => {
+  // A zone fails, and many targets with it. None of the requests that were in
+  // flight there is the cause, and their callers retry them.
+  it("holds no request back for targets that crash together", () => {
     const vm = new HeldBack();
     const requests = Array.from({ length: 12 }, (_, n) => fingerprint(`r${n}`));
     requests.forEach((request, n) =>
@@ -70,14 +71,14 @@
     expect(verdicts).not.toContain("held-back");
   });
 
-  it("agrees with a plain count under any order of news", () => {
+  it("agrees with a reference count for any order of messages", () => {
     const message: fc.Arbitrary<HeldBackMessage> = fc.record({
       kind: fc.constantFrom("coincided" as const, "completed" as const),
       fingerprint: fc.constantFrom("a", "b").map(fingerprint),
       target: fc.constantFrom("t1", "t2", "t3").map(target),
       remainingMs: fc.constantFrom(100, 1_000),
     });
-    class Hear implements fc.Command<HeldBackMessage[], HeldBack> {
+    class Receive implements fc.Command<HeldBackMessage[], HeldBack> {
       readonly #message: HeldBackMessage;
       constructor(message: HeldBackMessage) {
         this.#message = message;
@@ -91,7 +92,9 @@
         }
       }
     }
-    const commands = fc.commands([message.map((news) => new Hear(news))]);
+    const commands = fc.commands([
+      message.map((message) => new Receive(message)),
+    ]);
     fc.assert(
       fc.property(commands, (commands) => {
         const setup = () => ({ model: [], real: new HeldBack() });
@@ -101,7 +104,7 @@
     );
   });
 
-  it("keeps a bounded table", () => {
+  it("limits the size of its table", () => {
     const vm = new HeldBack();
     for (let n = 0; n < 10_000; n++) {
       vm.targetDied(target("t"), [fingerprint(`r${n}`)], n * 5_000);
@@ -110,13 +113,20 @@
   });
 });
 
-function expected(news: readonly HeldBackMessage[], name: Fingerprint): string {
-  const mine = news.filter(({ fingerprint }) => fingerprint === name);
-  if (mine.some(({ kind }) => kind === "completed")) {
+function expected(
+  messages: readonly HeldBackMessage[],
+  name: Fingerprint,
+): string {
+  const matching = messages.filter(({ fingerprint }) => fingerprint === name);
+  if (matching.some(({ kind }) => kind === "completed")) {
     return "free";
   }
-  const deaths = mine.map((message) =>
+  const crashedTargets = matching.map((message) =>
     message.kind === "coincided" ? message.target : undefined
   );
-  return ["free", "suspect", "held-back"][Math.min(2, new Set(deaths).size)]!;
+  return [
+    "free",
+    "suspect",
+    "held-back",
+  ][Math.min(2, new Set(crashedTargets).size)]!;
 }
--- a/packages/coordination/src/held_back/mod.ts
+++ b/packages/coordination/src/held_back/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Held-back requests: those that crash each target they reach.
+ * Detection of requests that crash each target they reach, to hold them back.
  *
  * @module
  */
--- a/packages/coordination/src/lease/lease.ts
+++ b/packages/coordination/src/lease/lease.ts
@@ -1,6 +1,5 @@
 /**
- * Contends for one lease: acquires, renews, and hands it over at a planned
- * stop.
+ * A task that acquires and renews one lease, and releases it at a planned stop.
  *
  * @module
  */
@@ -25,24 +24,24 @@
   stopLease,
 } from "./lease_core.ts";
 
-/** Renewals in one duration: two may be lost before the lease lapses. */
+/** Renewals per lease duration: two may be lost before the lease expires. */
 const RENEWALS_PER_DURATION = 3;
 
-/** How a fenced write ended. */
+/** The result of a fenced write. */
 export type FencedResult =
   | TransactionResult
-  /** This VM does not hold the lease by its own clock; nothing was sent. */
+  /** This VM does not hold the lease by its own clock; no call was sent. */
   | { readonly kind: "not-held" }
-  /** Another VM took the lease over; nothing was written. */
+  /** Another VM has taken over the lease; nothing was written. */
   | { readonly kind: "fenced-off" };
 
-/** A lease that one VM contends for. */
+/** One VM's contender for a lease. */
 export class Lease {
   readonly #table: Table;
   #state: LeaseState;
   #timer: ReturnType<typeof setTimeout> | undefined;
-  #running = false;
-  #step: Promise<void> = Promise.resolve();
+  #isRunning = false;
+  #pendingStep: Promise<void> = Promise.resolve();
 
   constructor(table: Table, contender: LeaseContender) {
     this.#table = table;
@@ -54,19 +53,22 @@
     return heldToken(this.#state, performance.now());
   }
 
-  /** Contends from now on. */
+  /** Starts contending for the lease. */
   start(): void {
-    if (!this.#running) {
-      this.#running = true;
-      this.#beat();
+    if (!this.#isRunning) {
+      this.#isRunning = true;
+      this.#scheduleSteps();
     }
   }
 
-  /** Releases the lease if held, so that the next holder need not wait. Never throws. */
+  /**
+   * Stops contending, and releases the lease if held, so that the next holder
+   * need not wait for its expiry. Never throws {@link TableError}.
+   */
   async stop(): Promise<void> {
-    this.#running = false;
+    this.#isRunning = false;
     clearTimeout(this.#timer);
-    await this.#step;
+    await this.#pendingStep;
     const { state, release } = stopLease(this.#state);
     this.#state = state;
     if (release !== undefined) {
@@ -75,10 +77,10 @@
   }
 
   /**
-   * Writes only if this VM still holds the lease, by the table's judgement: a
-   * holder that was paused past its lease is refused. Further conditions may
-   * be added. Throws TableError; with effect `unknown` the write may have been
-   * applied.
+   * Writes only if the table still shows this VM as the holder: the write of a
+   * holder that was paused until another VM took over is refused. The write
+   * also requires `conditions`. Throws TableError; with effect `unknown` the
+   * write may have been applied.
    */
   async transact(
     writes: readonly Write[],
@@ -96,18 +98,21 @@
     return isFencedOff ? { kind: "fenced-off" } : result;
   }
 
-  #beat(): void {
-    this.#step = this.#stepOnce().then(() => {
-      if (this.#running) {
+  #scheduleSteps(): void {
+    this.#pendingStep = this.#runStep().then(() => {
+      if (this.#isRunning) {
         const { durationMs } = this.#state.contender;
-        const wait = durationMs / RENEWALS_PER_DURATION;
-        this.#timer = setTimeout(() => this.#beat(), wait);
+        const intervalMs = durationMs / RENEWALS_PER_DURATION;
+        this.#timer = setTimeout(() => this.#scheduleSteps(), intervalMs);
       }
     });
   }
 
-  /** One exchange; a free lease that was just seen is taken without waiting for the next beat. */
-  async #stepOnce(): Promise<void> {
+  /**
+   * Performs the next step; acquires a lease that was just read as free without
+   * waiting for the next renewal time.
+   */
+  async #runStep(): Promise<void> {
     const first = nextLeaseStep(this.#state, performance.now());
     if (first === undefined) {
       return;
--- a/packages/coordination/src/lease/lease_core.ts
+++ b/packages/coordination/src/lease/lease_core.ts
@@ -1,15 +1,16 @@
 /**
- * The core of a lease with a fencing token: one contender's view.
+ * State machine of one contender for a lease with a fencing token.
  *
- * Two rows: `lease/NAME` names the holder and changes only when the lease
- * changes hands, so that its version is the fencing token; `lease/NAME/beat` is
- * rewritten by each renewal. A write guarded by a condition on the first row is
- * refused by the table once anybody else took over, whatever the old holder
- * believes, and renewals do not disturb it.
+ * A lease has two rows. `lease/NAME` names the holder and changes only when the
+ * lease is acquired or released, so its version serves as the fencing token.
+ * `lease/NAME/beat` is rewritten by each renewal. The table refuses a write with
+ * a condition on the first row as soon as another contender has acquired the
+ * lease, even if the old holder has not noticed; renewals do not affect such a
+ * write.
  *
- * No clock is shared. A contender takes over only after it saw the same beat
- * for the whole duration by its own clock; a holder counts its duration from
- * before it sent the renewal.
+ * The contenders share no clock. A contender takes over only after the beat row
+ * has stayed unchanged for the full duration by the contender's own clock. A
+ * holder counts the duration from before it sent the renewal.
  *
  * @module
  */
@@ -27,22 +28,22 @@
 } from "../table.ts";
 
 /**
- * A contender waits longer than the holder counts, since two clocks may run
- * apart: 5% is far above the 0.05% that a clock which is not being stepped may
- * drift. The fence does not rest on it; it only keeps two VMs from working at
- * the same time for nothing.
+ * Factor by which a contender waits longer than the holder's duration, because
+ * two clocks may run at different rates. 5% is far above the 0.05% by which a
+ * clock that is not stepped may drift. The fencing token does not depend on this
+ * factor: it only avoids that two VMs do the same work at once.
  */
-export const CLOCK_MARGIN = 1.05;
+export const TAKEOVER_WAIT_FACTOR = 1.05;
 
-/** Who contends for which lease. */
+/** A contender and the lease it contends for. */
 export interface LeaseContender {
   readonly name: string;
   readonly instance: InstanceId;
-  /** How long a holder may work without renewing, in ms. */
+  /** How long a holder may work after its last successful renewal. */
   readonly durationMs: number;
 }
 
-/** Value of `lease/NAME`; the holder is null after a release. */
+/** Value of the row `lease/NAME`; `holder` is null after a release. */
 interface LeaseRow {
   readonly holder: InstanceId | null;
 }
@@ -53,32 +54,35 @@
   readonly beat: Row;
 }
 
-/** What a contender believes. */
+/** What a contender knows about the lease. */
 export type LeaseBelief =
   | { readonly kind: "unseen" }
-  /** Another holds it, or nobody; the rows looked like this since `since`. */
+  /** Another contender or nobody holds it; `rows` have not changed since `since`. */
   | {
     readonly kind: "watching";
     readonly rows: LeaseRows;
     readonly since: number;
   }
-  /** Ours until `deadline` by our clock, and by the table until someone takes over. */
+  /**
+   * Held by this contender until `deadline` by its own clock; the table accepts
+   * its token until another contender takes over.
+   */
   | {
     readonly kind: "held";
     readonly token: number;
     readonly beat: number;
     readonly deadline: number;
   }
-  /** Released at a planned stop; never contends again. */
+  /** Stopped as planned; the contender never contends again. */
   | { readonly kind: "stopped" };
 
-/** A contender between two calls. */
+/** State of a contender between two calls to the table. */
 export interface LeaseState {
   readonly contender: LeaseContender;
   readonly belief: LeaseBelief;
 }
 
-/** What the contender sends to the table next. */
+/** The next call of the contender to the table. */
 export type LeaseStep =
   | { readonly kind: "read"; readonly keys: readonly string[] }
   | {
@@ -89,15 +93,16 @@
     readonly transaction: Transaction;
   };
 
-/** How a step ended. */
+/** The result of a step. */
 export type LeaseEvent =
   | {
     readonly kind: "rows";
     readonly rows: LeaseRows;
     /**
-     * When the answer came. The rows may have looked like this only then: a
-     * contender that counted from when it asked would count a slow answer as
-     * silence of the holder, and take over a lease that was just renewed.
+     * When the response arrived. The rows are known to have had these versions
+     * only from then on: counted from the request, a slow response would look
+     * like missing renewals, and the contender would take over a lease that had
+     * just been renewed.
      */
     readonly answeredAt: number;
   }
@@ -105,12 +110,12 @@
     readonly kind: "result";
     readonly step: Extract<LeaseStep, { kind: "transact" }>;
     readonly result: TransactionResult;
-    /** Before it was sent: a holder's duration counts from there. */
+    /** Taken before the call was sent; the holder's duration starts here. */
     readonly startedAt: number;
   }
   | { readonly kind: "failed"; readonly effect: TableEffect };
 
-/** Key of the row that names the holder. */
+/** Key of the row that names the lease's holder. */
 export function leaseKey(name: string): string {
   return `lease/${name}`;
 }
@@ -119,12 +124,12 @@
   return `lease/${name}/beat`;
 }
 
-/** A contender that has not looked at the table yet. */
+/** State of a contender that has not read the table yet. */
 export function newLease(contender: LeaseContender): LeaseState {
   return { contender, belief: { kind: "unseen" } };
 }
 
-/** The token while the lease is held by our own clock, else undefined. */
+/** The fencing token while the lease is held by the contender's own clock, else undefined. */
 export function heldToken(state: LeaseState, now: number): number | undefined {
   const { belief } = state;
   return belief.kind === "held" && now < belief.deadline
@@ -132,20 +137,23 @@
     : undefined;
 }
 
-/** The condition that makes the table refuse a write once the lease changed hands. */
+/**
+ * The condition that makes the table refuse a write once the lease was acquired
+ * or released since.
+ */
 export function fence(name: string, token: number): Condition {
   return { key: leaseKey(name), version: token };
 }
 
-/** A write that only the holder of that token can make, if `conditions` hold too. */
+/** A write that succeeds only while `token` is the current one and `conditions` hold. */
 export interface FencedWrite {
   readonly token: number;
   readonly writes: readonly Write[];
-  /** For example that the configuration it was made for is still in force. */
+  /** For example, that the configuration the write is based on is still in force. */
   readonly conditions?: readonly Condition[];
 }
 
-/** The transaction of a write under the lease's fence. */
+/** The transaction for a fenced write. */
 export function fencedTransaction(
   name: string,
   { token, writes, conditions = [] }: FencedWrite,
@@ -153,7 +161,7 @@
   return { conditions: [fence(name, token), ...conditions], writes };
 }
 
-/** What to send now. */
+/** The call to send now; undefined once the contender has stopped. */
 export function nextLeaseStep(
   state: LeaseState,
   now: number,
@@ -165,7 +173,7 @@
     case "unseen":
       return readStep(contender);
     case "watching":
-      return mayTakeOver(contender, belief, now)
+      return canAcquire(contender, belief, now)
         ? acquireStep(contender, belief.rows)
         : readStep(contender);
     case "held":
@@ -176,9 +184,9 @@
 }
 
 /**
- * A planned stop: the state after it, and what hands the lease over at once if
- * it is held. The contender lets go before the release is sent, since the next
- * holder may start before the answer to it comes.
+ * Handles a planned stop: returns the stopped state and, if the lease is held,
+ * the call that releases it. The contender stops using the lease before the
+ * release is sent, since the next holder may start before the response arrives.
  */
 export function stopLease(
   state: LeaseState,
@@ -190,7 +198,7 @@
     : { state: stopped, release: undefined };
 }
 
-/** The state after `event`. */
+/** Returns the state after `event`. */
 export function advanceLease(
   state: LeaseState,
   event: LeaseEvent,
@@ -218,26 +226,26 @@
     : (lease.value as unknown as LeaseRow).holder;
 }
 
-function mayTakeOver(
+function canAcquire(
   contender: LeaseContender,
   belief: Extract<LeaseBelief, { kind: "watching" }>,
   now: number,
 ): boolean {
   const holder = holderOf(belief.rows.lease);
-  // Our own instance is found as holder only after an answer was lost. It is
-  // acquired anew, under a new token, so that its duration starts from a call
-  // whose answer did come.
+  // The row names this instance as the holder only if the response to its own
+  // call was lost. The lease is then acquired again under a new token, so that
+  // the duration starts at a call whose response did arrive.
   if (holder === null || holder === contender.instance) {
     return true;
   }
-  return now - belief.since >= contender.durationMs * CLOCK_MARGIN;
+  return now - belief.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR;
 }
 
 function releaseStep(
   contender: LeaseContender,
   belief: Extract<LeaseBelief, { kind: "held" }>,
 ): LeaseStep {
-  const released: LeaseRow = { holder: null };
+  const row: LeaseRow = { holder: null };
   const key = leaseKey(contender.name);
   return {
     kind: "transact",
@@ -246,16 +254,16 @@
     beat: belief.beat,
     transaction: {
       conditions: [fence(contender.name, belief.token)],
-      // The row stays: a deleted row would count its versions from 1 again, and
-      // a token that was used before would pass the fence.
-      writes: [{ key, value: released as unknown as Json }],
+      // The row is not deleted: the versions of a deleted row start at 1 again,
+      // so a token that was used before would pass the fencing condition.
+      writes: [{ key, value: row as unknown as Json }],
     },
   };
 }
 
 function acquireStep(contender: LeaseContender, rows: LeaseRows): LeaseStep {
   const { name, instance } = contender;
-  const lease: LeaseRow = { holder: instance };
+  const row: LeaseRow = { holder: instance };
   const token = rows.lease.version + 1;
   const beat = rows.beat.version + 1;
   return {
@@ -266,11 +274,11 @@
     transaction: {
       conditions: [
         { key: leaseKey(name), version: rows.lease.version },
-        // A renewal between our look and now keeps the lease with its holder.
+        // Fails if the holder has renewed the lease since this contender's read.
         { key: beatKey(name), version: rows.beat.version },
       ],
       writes: [
-        { key: leaseKey(name), value: lease as unknown as Json },
+        { key: leaseKey(name), value: row as unknown as Json },
         { key: beatKey(name), value: { token } },
       ],
     },
--- a/packages/coordination/src/lease/lease_test.ts
+++ b/packages/coordination/src/lease/lease_test.ts
@@ -21,19 +21,19 @@
 }
 
 describe("Lease", () => {
-  // The holder is paused past its lease just after it looked at its own clock,
-  // and wakes up while another VM plans. Unfenced, its old plan would replace
-  // the new one and traffic would be shifted back.
-  it("has the table refuse a holder that was paused", async () => {
+  // The holder is paused just after it has checked its own clock, and resumes
+  // after another VM has taken over the lease and written a plan. Without the
+  // fencing token, the old plan would replace the new one.
+  it("refuses the write of a holder that was paused past its lease", async () => {
     const table = new FaultyTable();
-    let wake = () => {};
+    let resume = () => {};
     const paused: Table = {
       read: (keys) => table.read(keys),
       scan: (prefix, options) => table.scan(prefix, options),
       transact: async (transaction) => {
         const isPlan = transaction.writes.some(({ key }) => key === "plan");
         if (isPlan) {
-          await new Promise<void>((resolve) => wake = resolve);
+          await new Promise<void>((resolve) => resume = resolve);
         }
         return await table.transact(transaction);
       },
@@ -45,14 +45,14 @@
     const next = contender(table, "next");
     await vi.advanceTimersByTimeAsync(10);
     await next.transact([{ key: "plan", value: "new" }]);
-    wake();
+    resume();
     expect(await write).toEqual({ kind: "fenced-off" });
     expect((await table.read(["plan"]))[0]!.value).toBe("new");
   });
 
-  // The table goes down for longer than the lease. The holder must stop by its
-  // own clock, and one holder must come back by itself.
-  it("lapses in an outage and comes back after it", async () => {
+  // The table is down for longer than the lease lasts. The holder must stop by
+  // its own clock, and must acquire the lease again after the outage.
+  it("expires during an outage of the table and is acquired again after it", async () => {
     const table = new FaultyTable();
     const a = contender(table, "a");
     await vi.advanceTimersByTimeAsync(10);
@@ -66,9 +66,10 @@
     expect(a.token).toBeGreaterThan(before);
   });
 
-  // The answer to the claim is lost after the write: the table names this VM as
-  // the holder, and the VM does not know it. Nobody would plan for a while.
-  it("takes its own lease up again after a lost answer", async () => {
+  // The response to the acquisition is lost after the write: the table names
+  // this VM as the holder, but the VM does not know it. If it waited for the
+  // expiry, no VM would write plans meanwhile.
+  it("acquires a lease again after the response was lost", async () => {
     const table = new FaultyTable();
     table.faults = ["none", "lose-after"];
     const a = contender(table, "a");
@@ -76,9 +77,9 @@
     expect(a.token).toBe(2);
   });
 
-  // Of two VMs the holder dies without a word. The other takes over after the
-  // duration, and not while the holder renews.
-  it("passes to another VM only after the holder fell silent", async () => {
+  // A second VM contends for the lease. It must not take over while the holder
+  // renews, and must do so once the holder has stopped.
+  it("passes to another VM only after the holder has stopped", async () => {
     const table = new FaultyTable();
     const a = contender(table, "a");
     await vi.advanceTimersByTimeAsync(10);
--- a/packages/coordination/src/plan_term/mod.ts
+++ b/packages/coordination/src/plan_term/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Terms of a plan: how long a VM may use what a plan hands out, also while the
- * table is out of reach.
+ * Terms of plans: how long a VM may use the slots that a plan assigns to it,
+ * including while the table is unreachable.
  *
  * @module
  */
--- a/packages/coordination/src/plan_term/term.ts
+++ b/packages/coordination/src/plan_term/term.ts
@@ -1,17 +1,19 @@
 /**
- * For how long a VM may go by the plan that it has: a pure transition core.
+ * Pure state machine for the term during which a VM may use its plan.
  *
- * A plan hands out slots; a later one may take them away and give them to
- * others. A VM that is cut off or paused does not hear of it, so it may use its
- * slots only for a term, and the planner waits for the term's end before it
- * gives them on. Were the table the only one to renew terms, an outage of the
- * table would stop every VM within one term, although nobody can write a newer
- * plan meanwhile. So holders of the same plan renew each other's terms.
+ * A plan assigns slots to VMs; a later plan may assign them to other VMs. A VM
+ * that is partitioned or paused does not receive the later plan, so it may use
+ * its slots for a limited term only, and the planner waits for the end of that
+ * term before it assigns the slots to another VM. If only the table could renew
+ * terms, an outage of the table would stop every VM within one term, although
+ * no newer plan can be written during the outage. Therefore the VMs that hold
+ * slots under the same plan (its holders) renew each other's terms.
  *
- * What makes that safe: a VM vouches only for the very plan that it follows
- * itself, and it confirms a newer plan only after it has stopped vouching for
- * the older one. Once all other holders have confirmed the newer plan, nobody
- * is left to vouch for the silent one, and its term runs out.
+ * This is safe because a VM renews terms only for exactly the plan that it
+ * follows itself, and confirms a newer plan to the planner only after it has
+ * stopped renewing terms for the older one. Once all other holders have
+ * confirmed the newer plan, no VM renews the term of an unresponsive holder any
+ * more, and that term expires.
  *
  * @module
  */
@@ -19,111 +21,122 @@
 import type { InstanceId, VmId } from "@poplarthread/ids";
 import type { Sender } from "../membership/messages.ts";
 
-/** What holders of a plan tell each other. Messages carry no times. */
+/** Messages between holders of a plan. They carry no times. */
 export type TermMessage =
-  /** Asks whether the plan of that sequence is the newest that the other knows. */
+  /** Asks whether the plan numbered `sequence` is the newest one known to the receiver. */
   | {
     readonly kind: "renew";
     readonly from: Sender;
     readonly sequence: number;
-    /** Unique over all instances, so that an answer to an earlier life counts for nothing. */
+    /**
+     * Identifies the request across all instances, so that responses to an
+     * earlier instance are ignored.
+     */
     readonly question: string;
   }
+  /** Confirms that `sequence` is the newest plan known to the sender. */
   | {
     readonly kind: "renewed";
     readonly from: Sender;
     readonly sequence: number;
     readonly question: string;
   }
-  /** The sender knows a newer plan. */
+  /** The sender follows the newer plan `sequence`. */
   | {
     readonly kind: "outdated";
     readonly from: Sender;
     readonly sequence: number;
   };
 
-/** What happens to a term. */
+/** Input of the state machine. */
 export type TermEvent =
-  /** A plan became known, by whatever way; an older or equal one changes nothing. */
+  /** A plan was received from any source; an older or equal one is ignored. */
   | {
     readonly kind: "plan";
     readonly sequence: number;
-    /** Instances that may hold something by it or by an earlier plan. */
+    /** Instances that may hold slots under this plan or an earlier one. */
     readonly holders: readonly Sender[];
   }
-  /** The table was read, and `sequence` was the newest plan there. */
+  /** The table was read; its newest plan was `sequence`. */
   | {
     readonly kind: "read";
     readonly sequence: number;
-    /** When the read was sent, by this VM's clock: a plan written since is not seen. */
+    /** When the read was sent, by this VM's clock; it may miss a plan written since. */
     readonly askedAt: number;
   }
   | { readonly kind: "message"; readonly message: TermMessage }
   /**
-   * The earlier instance on this VM has ended, and every other VM has said that
-   * the plan of that sequence is the newest it knows and that it holds nothing
-   * lent by that instance: this one may take its place.
+   * This instance may take over the slots of the earlier instance on this VM:
+   * that instance has ended, and every other VM has reported that `sequence` is
+   * the newest plan it knows and that it holds no slots lent by that instance.
    */
   | { readonly kind: "inherit"; readonly sequence: number }
-  /** Time passes; every 100 ms or so. */
+  /** Sent periodically, about every 100 ms. */
   | { readonly kind: "tick" };
 
-/** What is to be done. */
+/** Actions for the caller to perform. */
 export type TermEffect =
   | { readonly kind: "send"; readonly to: VmId; readonly message: TermMessage }
-  /** A peer follows a newer plan than this VM: get it. */
+  /** The peer `vm` follows the newer plan `sequence`; fetch it. */
   | {
     readonly kind: "outdated";
     readonly vm: VmId;
     readonly sequence: number;
   };
 
-/** A question on its way. */
-export interface TermQuestion {
+/** The latest renewal request that this VM sent. */
+export interface RenewalRequest {
   readonly question: string;
   readonly askedAt: number;
   readonly answered: boolean;
 }
 
-/** The term of one VM. Plain data, replaced with each step. */
+/** The term of one VM. Immutable plain data. */
 export interface TermState {
   readonly self: Sender;
-  /** The plan that this VM follows; 0 before the first. */
+  /** Sequence number of the plan that this VM follows; 0 before the first plan. */
   readonly sequence: number;
+  /** Instances that may hold slots under this plan or an earlier one. */
   readonly holders: readonly Sender[];
-  /** Whether this instance took the place of an earlier one that the plan names. */
+  /** Whether this instance took over the slots of an earlier instance that the plan names. */
   readonly isHeir: boolean;
-  /** The plan's slots may be used before this time, on this VM's clock. */
+  /** End of the term by this VM's clock: the plan's slots may be used before it. */
   readonly validUntil: number;
-  /** Questions asked so far. */
+  /** Number of renewal requests sent so far. */
   readonly asked: number;
-  readonly last: TermQuestion | undefined;
+  readonly last: RenewalRequest | undefined;
 }
 
-/** A term after a step. */
+/** The next state, with the actions to perform. */
 export interface TermResult {
   readonly state: TermState;
   readonly effects: readonly TermEffect[];
 }
 
-/** Durations of a term; both ends of a system must use the same. */
+/** Durations of terms; all VMs must use the same values. */
 export interface TermTimes {
-  /** How long a vouched plan may be used, in ms. */
+  /** How long a plan may be used after its renewal. */
   readonly termMs: number;
-  /** An unanswered question is followed by one to the next holder after this, in ms. */
+  /** Time without a response after which the next holder is asked. */
   readonly retryMs: number;
 }
 
-/** A running term is renewed this often, so that a few lost messages cost nothing. */
+/** Renewals per term, so that a term outlasts a few lost messages. */
 const RENEWALS_PER_TERM = 6;
 
-/** Stands for a question whose answers count no more; no question is named so. */
-const FORGOTTEN = "";
+/**
+ * Value of `question` that no renewal request has; used to ignore responses to
+ * an earlier request.
+ */
+const NO_QUESTION = "";
 
-/** Two VMs' clocks may run apart by this share of a duration; slewing stays below 0.0005. */
-const CLOCK_DRIFT = 0.01;
+/**
+ * Allowed drift between two VMs' clocks, as a fraction of a duration; slewing
+ * stays below 0.0005.
+ */
+const MAX_CLOCK_DRIFT = 0.01;
 
-/** A VM that has just started: it holds nothing until a plan names its instance. */
+/** State of a VM that has just started: it holds no slots until a plan names its instance. */
 export function newTerm(self: Sender): TermState {
   return {
     self,
@@ -141,7 +154,7 @@
   return now < state.validUntil;
 }
 
-/** The term after `event`. */
+/** Returns the state and actions after `event`. */
 export function advanceTerm(
   state: TermState,
   event: TermEvent,
@@ -152,18 +165,18 @@
       return afterPlan(state, event);
     case "read":
       return event.sequence === state.sequence
-        ? done(extend(state, event.askedAt, ctx.times))
-        : done(state);
+        ? result(extendTerm(state, event.askedAt, ctx.times))
+        : result(state);
     case "message":
       return afterMessage(state, event.message, ctx.times);
     case "inherit":
-      return done({ ...state, isHeir: event.sequence === state.sequence });
+      return result({ ...state, isHeir: event.sequence === state.sequence });
     case "tick":
-      return ask(state, ctx);
+      return requestRenewal(state, ctx);
   }
 }
 
-function done(
+function result(
   state: TermState,
   ...effects: readonly TermEffect[]
 ): TermResult {
@@ -175,14 +188,15 @@
   { sequence, holders }: TermEvent & { kind: "plan" },
 ): TermResult {
   if (sequence <= state.sequence) {
-    return done(state);
+    return result(state);
   }
-  // Answers about the plan before must not count for this one: whoever vouched
-  // for that one may since have learned that this one was replaced, too. The pace
-  // of the questions stays: asked at once, holders who have not heard of the plan
-  // yet would each fetch it, beside the push that is on its way to them.
-  const last = state.last && { ...state.last, question: FORGOTTEN };
-  return done({ ...state, sequence, holders, isHeir: false, last });
+  // A response for the previous plan must not extend this plan's term: its sender
+  // may since have learned that this plan has been replaced, too. The time of the
+  // last request is kept, so that no request is sent at once: holders that have
+  // not received this plan yet would each fetch it, although a push of it is
+  // already under way to them.
+  const last = state.last && { ...state.last, question: NO_QUESTION };
+  return result({ ...state, sequence, holders, isHeir: false, last });
 }
 
 function afterMessage(
@@ -192,36 +206,36 @@
 ): TermResult {
   switch (message.kind) {
     case "renew":
-      return answer(state, message);
+      return afterRenewRequest(state, message);
     case "renewed": {
       const { last } = state;
       if (
         message.sequence !== state.sequence ||
         message.question !== last?.question
       ) {
-        return done(state);
+        return result(state);
       }
       const answered = { ...state, last: { ...last, answered: true } };
-      return done(extend(answered, last.askedAt, times));
+      return result(extendTerm(answered, last.askedAt, times));
     }
     case "outdated":
       return message.sequence > state.sequence
-        ? done(state, {
+        ? result(state, {
           kind: "outdated",
           vm: message.from.vm,
           sequence: message.sequence,
         })
-        : done(state);
+        : result(state);
   }
 }
 
-function answer(
+function afterRenewRequest(
   state: TermState,
   { from, sequence, question }: TermMessage & { kind: "renew" },
 ): TermResult {
   const self = state.self;
   if (sequence > state.sequence) {
-    return done(state, { kind: "outdated", vm: from.vm, sequence });
+    return result(state, { kind: "outdated", vm: from.vm, sequence });
   }
   if (sequence < state.sequence) {
     const message = {
@@ -229,62 +243,69 @@
       from: self,
       sequence: state.sequence,
     } as const;
-    return done(state, { kind: "send", to: from.vm, message });
+    return result(state, { kind: "send", to: from.vm, message });
   }
-  if (!isHolder(state, self.instance) || !names(state, from.vm)) {
-    // An instance that the plan does not name may have started since with a
-    // plan that was old by then; the planner does not wait for its word. An
-    // heir may therefore ask, but it never vouches.
-    return done(state);
+  if (!isHolder(state, self.instance) || !namesVm(state, from.vm)) {
+    // An instance that the plan does not name may have started later, with a
+    // plan that was outdated by then, and the planner does not wait for its
+    // confirmation. An instance that took over an earlier one's slots may
+    // therefore request renewals, but never renews the terms of others.
+    return result(state);
   }
   const message = { kind: "renewed", from: self, sequence, question } as const;
-  return done(state, { kind: "send", to: from.vm, message });
+  return result(state, { kind: "send", to: from.vm, message });
 }
 
-/** Counted from the question: the answer may have been late, the other side's word is not newer. */
-function extend(
+/**
+ * Extends the term, counted from when the request was sent: the response may
+ * have been delayed, and may show the state of any moment since the request.
+ */
+function extendTerm(
   state: TermState,
   askedAt: number,
   { termMs }: TermTimes,
 ): TermState {
-  if (!mayUse(state)) {
+  if (!mayUseSlots(state)) {
     return state;
   }
-  const until = askedAt + termMs * (1 - CLOCK_DRIFT);
+  const until = askedAt + termMs * (1 - MAX_CLOCK_DRIFT);
   return { ...state, validUntil: Math.max(state.validUntil, until) };
 }
 
-/** Asks one holder after the other, so that the cost does not grow with their number. */
-function ask(
+/**
+ * Asks the other holders in rotation, one at a time, so that the load does not
+ * grow with their number.
+ */
+function requestRenewal(
   state: TermState,
   { now, times }: { readonly now: number; readonly times: TermTimes },
 ): TermResult {
   const { self, last, sequence } = state;
   const others = state.holders.filter(({ vm }) => vm !== self.vm);
-  const everyMs = last === undefined || !last.answered
+  const intervalMs = last === undefined || !last.answered
     ? times.retryMs
     : times.termMs / RENEWALS_PER_TERM;
-  const isDue = last === undefined || now >= last.askedAt + everyMs;
-  if (!isDue || others.length === 0 || !mayUse(state)) {
-    return done(state);
+  const isDue = last === undefined || now >= last.askedAt + intervalMs;
+  if (!isDue || others.length === 0 || !mayUseSlots(state)) {
+    return result(state);
   }
   const asked = state.asked + 1;
   const question = `${self.instance}/${asked}`;
   const to = others[asked % others.length]!.vm;
   const message = { kind: "renew", from: self, sequence, question } as const;
-  return done(
+  return result(
     { ...state, asked, last: { question, askedAt: now, answered: false } },
     { kind: "send", to, message },
   );
 }
 
-/** Whether the plan's rows for this VM are this instance's. */
-function mayUse(state: TermState): boolean {
+/** Whether this instance may use the slots that the plan assigns to this VM. */
+function mayUseSlots(state: TermState): boolean {
   const { self, isHeir } = state;
-  return isHolder(state, self.instance) || (isHeir && names(state, self.vm));
+  return isHolder(state, self.instance) || (isHeir && namesVm(state, self.vm));
 }
 
-function names({ holders }: TermState, vm: VmId): boolean {
+function namesVm({ holders }: TermState, vm: VmId): boolean {
   return holders.some((holder) => holder.vm === vm);
 }
 
--- a/packages/model/src/configuration_model_test.ts
+++ b/packages/model/src/configuration_model_test.ts
@@ -115,7 +115,7 @@
   it("is caught when a follower takes a lower revision", async () => {
     const path = corePath("configuration/follower_core.ts");
     const core = await loadMutant<FollowerCore>(path, {
-      find: "if (inForce.revision < mine) {",
+      find: "if (inForce.revision < localRevision) {",
       replace: "if (inForce.revision < 0) {",
     });
     const found = explore(configurationModel(FOLLOWING, acceptance, core));
--- a/packages/model/src/held_back_model_test.ts
+++ b/packages/model/src/held_back_model_test.ts
@@ -31,26 +31,26 @@
   it.each([
     [
       "waits for a third death",
-      "const DEATHS_TO_HOLD = 2;",
-      "const DEATHS_TO_HOLD = 3;",
+      "const MIN_CRASHES = 2;",
+      "const MIN_CRASHES = 3;",
       "who knows of two deaths holds the culprit back",
     ],
     [
       "tells nobody of a death",
-      "messages.forEach((message) => this.hear(message, now));\n    return messages;",
-      "messages.forEach((message) => this.hear(message, now));\n    return [];",
+      "now));\n    return messages;",
+      "now));\n    return [];",
       "the culprit is free again nowhere once all is told",
     ],
     [
       "holds back after one death",
-      "const DEATHS_TO_HOLD = 2;",
-      "const DEATHS_TO_HOLD = 1;",
+      "const MIN_CRASHES = 2;",
+      "const MIN_CRASHES = 1;",
       "one shared target holds nobody else back",
     ],
     [
       "forgets a completion",
-      "completed: (old?.completed ?? false) ||",
-      "completed:",
+      "isCompleted: (old?.isCompleted ?? false) ||",
+      "isCompleted:",
       "who knows of a completion never holds that request back",
     ],
   ])("are caught when the table %s", async (_, find, replace, property) => {
--- a/packages/model/src/lease_model_test.ts
+++ b/packages/model/src/lease_model_test.ts
@@ -50,14 +50,14 @@
     ],
     [
       "deletes its row at the release",
-      "writes: [{ key, value: released as unknown as Json }]",
+      "writes: [{ key, value: row as unknown as Json }]",
       "writes: [{ key, value: undefined }]",
       HAND_OVER,
       "a token is given to one instance only",
     ],
     [
       "takes over before the lease lapsed",
-      "now - belief.since >= contender.durationMs * CLOCK_MARGIN",
+      "now - belief.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR",
       "now >= belief.since",
       LAPSE,
       "with clocks that run alike two VMs never hold it at once",
