--- a/packages/coordination/src/held_back/held_back.ts
+++ b/packages/coordination/src/held_back/held_back.ts
@@ -37,8 +37,8 @@
  */
 const MAX_CRASHES_IN_BURST = 3;
 /**
- * Callers retry after seconds, while a failing zone loses its targets within
- * one heartbeat timeout.
+ * A caller retries within seconds, whereas a failing zone loses its targets
+ * within one heartbeat timeout.
  */
 const CRASH_BURST_MS = 2_000;
 
--- a/packages/model/src/claims_model.ts
+++ b/packages/model/src/claims_model.ts
@@ -1,7 +1,7 @@
 /**
- * The model of request claims: one key, sent several times through instances
- * that may crash and come back, over a table that loses answers, with questions
- * to the holder that may be answered late or not at all.
+ * Model of request claims: a request with one key is sent several times, through
+ * VMs that may crash and restart. The table may lose responses, and queries to
+ * the holder of the claim may be answered late or not at all.
  *
  * @module
  */
@@ -14,8 +14,8 @@
   type Delivery,
   isTableEvent,
   newWorld,
-  orphan,
-  send,
+  orphanCall,
+  sendCall,
   type TableEvent,
   tableEvents,
   type TableWorld,
@@ -24,31 +24,32 @@
 /** The core under test: the production one, or a mutant of it. */
 export type AttemptCore = typeof attemptCore;
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface ClaimsBounds {
-  /** Times that the request is sent, each to any VM. */
+  /** Number of times that the request is sent, each to any VM. */
   readonly sendings: number;
-  /** Whether the last sending has another body. */
+  /** 1 if the last sending has a different body. */
   readonly otherBody: 0 | 1;
   readonly vms: number;
   readonly losses: number;
-  /** Crashes with a restart as a new instance, all together. */
+  /** Crashes in total; each VM restarts as a new instance. */
   readonly crashes: number;
-  /** Deadlines that pass or callers that leave, all together. */
+  /** Expired deadlines and callers that disconnect, in total. */
   readonly expiries: number;
 }
 
 type HolderAnswer = attemptCore.HolderAnswer;
 
+/** One of the times that the request is sent. */
 interface Sending {
-  /** Index of its VM; its instance died with it if `isLost`. */
+  /** Index of its VM; `isLost` if the VM's instance has crashed since. */
   readonly vm: number;
   readonly isLost: boolean;
   readonly attempt: attemptCore.Attempt;
-  /** The question to the holder on its way, with the answer once it was given. */
+  /** The query to the holder in flight, with the response once the holder has sent it. */
   readonly question: { readonly answer: HolderAnswer | null } | null;
   readonly refusal: attemptCore.ClaimRefusal | null;
-  /** Sendings that were dispatched before this one came. */
+  /** Sendings that had been dispatched before this one arrived. */
   readonly ranBefore: readonly number[];
   readonly wasSent: boolean;
 }
@@ -56,11 +57,15 @@
 /** A state of the model. */
 export interface ClaimsState {
   readonly world: TableWorld;
-  /** Life of each VM; each is a new instance. */
+  /** Number of restarts of each VM; each starts a new instance. */
   readonly lives: readonly number[];
   readonly sendings: readonly Sending[];
+  /** Events that may still occur. */
   readonly left: Pick<ClaimsBounds, "crashes" | "expiries">;
-  /** Sendings that ran at a target, in order; those that the target refused are taken out. */
+  /**
+   * Sendings that ran at a target, in order, without those that the target
+   * refused before running them.
+   */
   readonly ran: readonly number[];
 }
 
@@ -85,7 +90,7 @@
   bounds: ClaimsBounds,
   core: AttemptCore,
 ): Model<ClaimsState, ClaimsEvent> {
-  function put(
+  function updateSending(
     state: ClaimsState,
     index: number,
     changes: Partial<Sending>,
@@ -94,12 +99,12 @@
     return { ...state, sendings: state.sendings.with(index, sending) };
   }
 
-  function take(
+  function applyResult(
     state: ClaimsState,
     index: number,
     { attempt, effects }: attemptCore.AttemptResult,
   ): ClaimsState {
-    const after = put(state, index, { attempt });
+    const after = updateSending(state, index, { attempt });
     return effects.reduce(
       (state, effect) => perform(state, index, effect),
       after,
@@ -120,20 +125,20 @@
           writes: [{ key, value }],
         };
         const call = { kind: "transact", transaction } as const;
-        return { ...state, world: send(state.world, String(index), call) };
+        return { ...state, world: sendCall(state.world, String(index), call) };
       }
       case "read": {
         const call = { kind: "read", keys: [key] } as const;
-        return { ...state, world: send(state.world, String(index), call) };
+        return { ...state, world: sendCall(state.world, String(index), call) };
       }
       case "ask":
-        return put(state, index, { question: { answer: null } });
+        return updateSending(state, index, { question: { answer: null } });
       case "send": {
-        const after = put(state, index, { wasSent: true });
+        const after = updateSending(state, index, { wasSent: true });
         return { ...after, ran: [...state.ran, index] };
       }
       case "refuse":
-        return put(state, index, { refusal: effect.refusal });
+        return updateSending(state, index, { refusal: effect.refusal });
       case "granted":
         return state;
     }
@@ -145,7 +150,7 @@
     event: attemptCore.AttemptEvent,
   ): ClaimsState {
     const { attempt } = state.sendings[index]!;
-    return take(state, index, core.advanceAttempt(attempt, event));
+    return applyResult(state, index, core.advanceAttempt(attempt, event));
   }
 
   function arrive(state: ClaimsState, vm: number): ClaimsState {
@@ -168,10 +173,10 @@
       wasSent: false,
     };
     const after = { ...state, sendings: [...state.sendings, sending] };
-    return take(after, index, started);
+    return applyResult(after, index, started);
   }
 
-  function holderAnswer(state: ClaimsState, index: number): HolderAnswer {
+  function holderResponse(state: ClaimsState, index: number): HolderAnswer {
     const { phase } = state.sendings[index]!.attempt;
     const row = (phase as { row: claimRow.ClaimRow }).row;
     const holder = state.sendings.find(({ attempt }) =>
@@ -185,7 +190,7 @@
   function crash(state: ClaimsState, vm: number): ClaimsState {
     const world = state.sendings.reduce(
       (world, sending, index) =>
-        sending.vm === vm ? orphan(world, String(index)) : world,
+        sending.vm === vm ? orphanCall(world, String(index)) : world,
       state.world,
     );
     const sendings = state.sendings.map((sending) =>
@@ -227,18 +232,18 @@
       case "arrive":
         return arrive(state, event.vm);
       case "holder-answers": {
-        const answer = holderAnswer(state, event.sending);
-        return put(state, event.sending, { question: { answer } });
+        const answer = holderResponse(state, event.sending);
+        return updateSending(state, event.sending, { question: { answer } });
       }
       case "holder-answer-comes": {
         const answer = state.sendings[event.sending]!.question!.answer!;
-        const asked = put(state, event.sending, { question: null });
-        return advance(asked, event.sending, { kind: "holder", answer });
+        const updated = updateSending(state, event.sending, { question: null });
+        return advance(updated, event.sending, { kind: "holder", answer });
       }
       case "holder-out-of-reach": {
-        const asked = put(state, event.sending, { question: null });
+        const updated = updateSending(state, event.sending, { question: null });
         const answer = { kind: "unreachable" } as const;
-        return advance(asked, event.sending, { kind: "holder", answer });
+        return advance(updated, event.sending, { kind: "holder", answer });
       }
       case "dispatch":
         return advance(state, event.sending, { kind: "dispatch" });
@@ -257,15 +262,15 @@
   function eventsOf(state: ClaimsState): readonly ClaimsEvent[] {
     const events: ClaimsEvent[] = [...tableEvents(state.world)];
     for (let vm = 0; vm < bounds.vms; vm++) {
-      // Which VM a first sending comes to makes no difference.
-      const isOpen = vm === 0 || state.sendings.length > 0;
-      if (isOpen && state.sendings.length < bounds.sendings) {
+      // The first sending always goes to VM 0, since the VMs are interchangeable.
+      const mayReceive = vm === 0 || state.sendings.length > 0;
+      if (mayReceive && state.sendings.length < bounds.sendings) {
         events.push({ type: "arrive", vm });
       }
-      const isUsed = state.sendings.some((sending) =>
+      const hasSending = state.sendings.some((sending) =>
         sending.vm === vm && !sending.isLost
       );
-      if (state.left.crashes > 0 && isUsed) {
+      if (state.left.crashes > 0 && hasSending) {
         events.push({ type: "crash", vm });
       }
     }
@@ -292,8 +297,8 @@
   };
 }
 
-function instanceOf(vm: number, life: number): InstanceId {
-  return id<InstanceId>(`vm${vm}-${life}`);
+function instanceOf(vm: number, restarts: number): InstanceId {
+  return id<InstanceId>(`vm${vm}-${restarts}`);
 }
 
 function outcomeOf(
@@ -302,7 +307,7 @@
 ): attemptCore.RunOutcome {
   switch (how) {
     case "answered": {
-      // The status tells whose answer it is.
+      // The status identifies the sending that got this response.
       const answer = { status: sending, headers: [], bodyBase64: "" };
       return { kind: how, answer };
     }
@@ -360,20 +365,22 @@
 }
 
 const PROPERTIES: Model<ClaimsState, ClaimsEvent>["properties"] = {
-  "a request runs once at most": ({ ran }) => ran.length <= 1,
+  "a request runs at most once": ({ ran }) => ran.length <= 1,
   "a refused sending is never sent": ({ sendings }) =>
     sendings.every(({ refusal, wasSent }) => refusal === null || !wasSent),
-  // A sending that a target refused before running it is not in `ran` any more.
-  "not run is said of a key only if it had not run": ({ sendings, ran }) =>
+  // `ran` does not include sendings that a target refused before running them.
+  "a key is reported as not run only if it had not run": ({ sendings, ran }) =>
     sendings.every(({ refusal, ranBefore }) =>
       refusal?.kind !== "not-run" || refusal.proof !== "key" ||
       !ranBefore.some((sending) => ran.includes(sending))
     ),
-  "a repeat gets the answer of the run": ({ sendings, ran }) =>
+  "a repeated sending gets the response of the run": ({ sendings, ran }) =>
     sendings.every(({ refusal }) =>
       refusal?.kind !== "answered" || ran[0] === refusal.answer.status
     ),
-  "another body under the same key never joins": ({ sendings }) =>
+  "a sending with another body never gets the response of the run": (
+    { sendings },
+  ) =>
     sendings.every(({ refusal, attempt }) =>
       refusal?.kind !== "answered" ||
       sendings[refusal.answer.status]?.attempt.bodyDigest ===
--- a/packages/model/src/claims_model_test.ts
+++ b/packages/model/src/claims_model_test.ts
@@ -9,10 +9,10 @@
 import { explore } from "./explore.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
-const PLAIN: ClaimsBounds = {
+const NO_FAULTS: ClaimsBounds = {
   sendings: 2,
   otherBody: 0,
   vms: 2,
@@ -20,16 +20,16 @@
   crashes: 0,
   expiries: 0,
 };
-const LOSS: ClaimsBounds = { ...PLAIN, losses: 1 };
-const CRASH: ClaimsBounds = { ...PLAIN, crashes: 1, expiries: 1 };
+const LOSS: ClaimsBounds = { ...NO_FAULTS, losses: 1 };
+const CRASH: ClaimsBounds = { ...NO_FAULTS, crashes: 1, expiries: 1 };
 const OTHER_BODY: ClaimsBounds = { ...LOSS, otherBody: 1 };
 
-describe("request claims", { timeout: EXPLORING_MS }, () => {
-  // An objection is sent again through another VM, at any moment of the first
-  // sending: its VM died, its claim's answer was lost, its caller gave up. The
-  // objection would be filed twice, or its sender told that it was not.
+describe("model of request claims", { timeout: EXPLORATION_TIMEOUT_MS }, () => {
+  // A request is retried through another VM at any time during its first sending:
+  // that one's VM crashed, the response to its claim was lost, or its caller gave
+  // up. The request could run twice, or be reported as not run although it ran.
   it.each([LOSS, CRASH, OTHER_BODY])(
-    "runs a request once at most in all orders within %o",
+    "lets a request run at most once in all orders within %o",
     (bounds) => {
       const found = explore(claimsModel(bounds, attemptCore));
       expect(found.violation).toBeUndefined();
@@ -38,58 +38,61 @@
 
   it.each([
     [
-      "takes a lost answer for its claim",
+      "treats a lost response as a granted claim",
       'return to(attempt, { kind: "reading", over }, { kind: "read" });',
       "return grant(attempt, over + 1);",
       LOSS,
-      "a request runs once at most",
+      "a request runs at most once",
     ],
     [
-      "takes over from a holder that does not answer",
+      "takes over from a holder that does not respond",
       'return refuse(attempt, { kind: "unknown" });\n  }\n}\n\nfunction while',
       "return claimOver(attempt, phase.over);\n  }\n}\n\nfunction while",
-      PLAIN,
-      "a request runs once at most",
+      NO_FAULTS,
+      "a request runs at most once",
     ],
     [
-      "calls a claim free that it may still run",
+      "reports a claim as free although the request may still run",
       'case "dispatched":\n      return { kind: "running" };',
       'case "dispatched":\n      return { kind: "free" };',
-      PLAIN,
-      "a request runs once at most",
+      NO_FAULTS,
+      "a request runs at most once",
     ],
     [
-      "goes on with a sending that it refused",
+      "continues with a sending that it refused",
       'return to(attempt, { kind: "closed" }, { kind: "refuse", refusal });',
       'return to(attempt, attempt.phase, { kind: "refuse", refusal });',
       CRASH,
       "a refused sending is never sent",
     ],
     [
-      "says not run of a key that it knows nothing of",
+      "reports a key as not run without knowing whether it ran",
       'attempt.keyNeverRan ? "key" : "this-sending"',
       '"key"',
       LOSS,
-      "not run is said of a key only if it had not run",
+      "a key is reported as not run only if it had not run",
     ],
     [
-      "records an answer for what a target refused",
+      "records a response for a request that a target refused",
       'outcome.kind === "not-run" ? { kind: "abandoned" }',
       'outcome.kind === "not-run" ? { kind: "answered", answer: { status: 9 } }',
-      PLAIN,
-      "a repeat gets the answer of the run",
+      NO_FAULTS,
+      "a repeated sending gets the response of the run",
     ],
     [
-      "does not look at the body",
+      "does not compare the body",
       "if (claim.bodyDigest !== attempt.bodyDigest) {",
       "if (claim.bodyDigest === undefined) {",
       OTHER_BODY,
-      "another body under the same key never joins",
+      "a sending with another body never gets the response of the run",
     ],
-  ])("is caught when it %s", async (_, find, replace, bounds, property) => {
-    const path = corePath("claims/attempt.ts");
-    const core = await loadMutant<AttemptCore>(path, { find, replace });
-    const model = claimsModel(bounds, core);
-    expect(explore(model, [property]).violation?.property).toBe(property);
-  });
+  ])(
+    "reports a violation when the core %s",
+    async (_, find, replace, bounds, property) => {
+      const path = corePath("claims/attempt.ts");
+      const core = await loadMutant<AttemptCore>(path, { find, replace });
+      const model = claimsModel(bounds, core);
+      expect(explore(model, [property]).violation?.property).toBe(property);
+    },
+  );
 });
--- a/packages/model/src/configuration_model.ts
+++ b/packages/model/src/configuration_model.ts
@@ -1,6 +1,7 @@
 /**
- * The model of the versioned configuration: operators race over the table, each
- * through a VM that may die and be asked again, while VMs follow.
+ * Model of the versioned configuration: operators race to change it, each
+ * through a VM that may crash and then get a retry, while other VMs follow the
+ * changes.
  *
  * @module
  */
@@ -18,26 +19,29 @@
   type Delivery,
   isTableEvent,
   newWorld,
-  orphan,
-  send,
+  orphanCall,
+  sendCall,
   type TableEvent,
   tableEvents,
   type TableWorld,
 } from "./table_world.ts";
 
-/** The cores under test: the production ones, or mutants of them. */
+/** The acceptance core under test: the production one, or a mutant of it. */
 export type AcceptanceCore = typeof acceptance;
-/** The follower's core under test. */
+/** The follower core under test: the production one, or a mutant of it. */
 export type FollowerCore = typeof followerCore;
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface ConfigurationBounds {
   readonly operators: number;
-  /** Times that operators ask again under the same operation id, after a crash or an outcome; all together. */
+  /**
+   * Retries by operators under the same operation id, after a crash or an
+   * outcome, in total.
+   */
   readonly retries: number;
   readonly losses: number;
   readonly followers: number;
-  /** Polls of all followers together. */
+  /** Polls by all followers in total. */
   readonly polls: number;
 }
 
@@ -47,12 +51,13 @@
 interface Operator {
   readonly operationId: OperationId;
   readonly core: acceptance.Acceptance<Value>;
+  /** The outcome reported to the operator. */
   readonly told: Outcome | null;
 }
 
 interface Follower {
   readonly core: followerCore.FollowerState<Value>;
-  /** The highest revision that it ever ran. */
+  /** The highest revision that this follower ever ran. */
   readonly highest: number;
 }
 
@@ -63,7 +68,7 @@
   readonly followers: readonly Follower[];
   readonly polls: number;
   readonly retries: number;
-  /** Every value that a follower ever ran may be pushed, any number of times and late. */
+  /** All values that a follower ever ran; each may be pushed late and repeatedly. */
   readonly pushed: readonly InForce<Value>[];
 }
 
@@ -80,7 +85,7 @@
     readonly operationId: OperationId;
   };
 
-/** Fixed: the model is not about times. */
+/** Time of all audit entries; fixed, since the model does not cover it. */
 const AT = "at";
 
 /** Builds the model around the cores. */
@@ -101,14 +106,14 @@
     );
   }
 
-  function withCall(
+  function sendStep(
     state: ConfigurationState,
     index: number,
   ): ConfigurationState {
     const { step } = state.operators[index]!.core;
     return step.kind === "done" ? state : {
       ...state,
-      world: send(state.world, `operator-${index}`, step),
+      world: sendCall(state.world, `operator-${index}`, step),
     };
   }
 
@@ -118,7 +123,7 @@
     operator: Operator,
   ): ConfigurationState {
     const operators = state.operators.with(index, operator);
-    return withCall({ ...state, operators }, index);
+    return sendStep({ ...state, operators }, index);
   }
 
   function advance(
@@ -174,16 +179,16 @@
     return follow(state, index, { kind: "table", inForce, startedAt: 0 });
   }
 
-  function askAgain(
+  function retry(
     state: ConfigurationState,
     index: number,
   ): ConfigurationState {
     const operator = state.operators[index]!;
-    const world = orphan(state.world, `operator-${index}`);
+    const world = orphanCall(state.world, `operator-${index}`);
     const retries = state.retries - 1;
     return withOperator({ ...state, world, retries }, index, {
       ...operator,
-      core: start(operator.operationId, revisionIn(state), false),
+      core: start(operator.operationId, currentRevision(state), false),
       told: null,
     });
   }
@@ -201,10 +206,10 @@
       case "expire":
         return advance(state, event.operator, { kind: "expired" });
       case "ask-again":
-        return askAgain(state, event.operator);
+        return retry(state, event.operator);
       case "poll": {
         const call = { kind: "read", keys: ["config/in-force"] } as const;
-        const world = send(state.world, `follower-${event.follower}`, call);
+        const world = sendCall(state.world, `follower-${event.follower}`, call);
         return { ...state, world, polls: state.polls - 1 };
       }
       case "push": {
@@ -228,12 +233,12 @@
     told: null,
   }));
   const initial = operators.reduce<ConfigurationState>(
-    (state, _, index) => withCall(state, index),
+    (state, _, index) => sendStep(state, index),
     {
       world: newWorld(bounds.losses),
       operators,
       followers: Array.from({ length: bounds.followers }, () => ({
-        // JSON has no -Infinity; the age plays no part here.
+        // JSON has no -Infinity; the age is irrelevant in this model.
         core: { ...follower.newFollower<Value>(), currentAt: 0 },
         highest: 0,
       })),
@@ -253,7 +258,7 @@
   };
 }
 
-function revisionIn(state: ConfigurationState): number {
+function currentRevision(state: ConfigurationState): number {
   const value = rowAt(state.world.rows, "config/in-force").value;
   return (value as unknown as InForce<Value> | null)?.revision ?? 0;
 }
@@ -262,7 +267,7 @@
   const events: ConfigurationEvent[] = [...tableEvents(state.world)];
   state.operators.forEach((operator, index) => {
     const isDone = operator.core.step.kind === "done";
-    // The task expires between two calls only: before the next one is sent.
+    // The timeout is handled only between two calls: before the next one is sent.
     const call = state.world.calls[`operator-${index}`];
     if (!isDone && call?.answer === undefined && call?.call.kind === "read") {
       events.push({ type: "expire", operator: index });
@@ -272,8 +277,8 @@
     }
   });
   state.followers.forEach((follower, index) => {
-    const polls = `follower-${index}` in state.world.calls;
-    if (state.polls > 0 && !polls) {
+    const isPolling = `follower-${index}` in state.world.calls;
+    if (state.polls > 0 && !isPolling) {
       events.push({ type: "poll", follower: index });
     }
     for (const { revision, operationId } of state.pushed) {
@@ -285,7 +290,7 @@
   return events;
 }
 
-function auditOf(
+function auditEntryOf(
   state: ConfigurationState,
   revision: number,
 ): { readonly operationId: OperationId } | null {
@@ -295,7 +300,7 @@
   };
 }
 
-function acceptedTimes(
+function countAccepted(
   state: ConfigurationState,
   operationId: OperationId,
 ): number {
@@ -312,40 +317,42 @@
     "each revision has the audit row of the change that made it": (state) => {
       const { rows } = state.world;
       const inForce = rowAt(rows, "config/in-force");
-      const revision = revisionIn(state);
+      const revision = currentRevision(state);
       const operationId =
         (inForce.value as { operationId?: OperationId } | null)
           ?.operationId;
-      // One write of the row for each revision: none was made twice.
+      // The row's version equals the revision only if each revision was written once.
       return inForce.version === revision &&
-        auditOf(state, revision)?.operationId === operationId;
+        auditEntryOf(state, revision)?.operationId === operationId;
     },
-    "an operation is accepted once at most": (state) =>
+    "an operation is accepted at most once": (state) =>
       state.operators.every(({ operationId }) =>
-        acceptedTimes(state, operationId) <= 1
+        countAccepted(state, operationId) <= 1
       ),
-    "who is told accepted was accepted, as that revision": (state) =>
+    "a change reported as accepted was accepted as that revision": (state) =>
       state.operators.every(({ told, operationId }) =>
         told?.kind !== "accepted" ||
-        auditOf(state, told.revision)?.operationId === operationId
+        auditEntryOf(state, told.revision)?.operationId === operationId
       ),
-    "who is told not accepted or superseded never is": (state) =>
+    "a change reported as not accepted or superseded is never accepted": (
+      state,
+    ) =>
       state.operators.every(({ told, operationId }) =>
         (told?.kind !== "not-accepted" && told?.kind !== "superseded") ||
-        acceptedTimes(state, operationId) === 0
+        countAccepted(state, operationId) === 0
       ),
-    "the loser is told who won": (state) =>
+    "a superseded change is reported with its winner": (state) =>
       state.operators.every(({ told }) =>
         told?.kind !== "superseded" || told.winner !== undefined
       ),
-    "no follower goes back": (state) =>
+    "no follower returns to a lower revision": (state) =>
       state.followers.every(({ core, highest }) =>
         (core.inForce?.revision ?? 0) === highest
       ),
-    "a follower runs only what was accepted": (state) =>
+    "a follower runs only accepted changes": (state) =>
       state.followers.every(({ core }) =>
         core.inForce === undefined ||
-        auditOf(state, core.inForce.revision)?.operationId ===
+        auditEntryOf(state, core.inForce.revision)?.operationId ===
           core.inForce.operationId
       ),
   };
--- a/packages/model/src/configuration_model_test.ts
+++ b/packages/model/src/configuration_model_test.ts
@@ -10,8 +10,8 @@
 import { explore } from "./explore.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
 const RACE: ConfigurationBounds = {
   operators: 2,
@@ -28,26 +28,28 @@
   polls: 2,
 };
 
-describe("versioned configuration", { timeout: EXPLORING_MS }, () => {
-  // Two operators change the configuration at the same moment, each through a
-  // VM that may die and be asked again, over a table that loses an answer. An
-  // operator who is told something untrue edits on top of what never ran.
-  it("tells every operator the truth in all orders", () => {
+describe("model of the versioned configuration", {
+  timeout: EXPLORATION_TIMEOUT_MS,
+}, () => {
+  // Two operators change the configuration at the same time, each through a VM
+  // that may crash and then get a retry, and the table loses a response. An
+  // operator with a wrong outcome would base changes on a value that never ran.
+  it("reports the actual outcome to every operator in all orders", () => {
     const found = explore(configurationModel(RACE, acceptance, followerCore));
     expect(found.violation).toBeUndefined();
     expect(found.states).toBeGreaterThan(10_000);
   });
 
-  // VMs hear of changes by polls and pushes that arrive late and out of order.
-  // One that goes back steers by a configuration that was replaced.
-  it("never takes a VM back in all orders", () => {
+  // VMs learn of changes by polls and pushes that arrive late and out of order. A
+  // VM that returned to a lower revision would run a replaced configuration.
+  it("never returns a VM to a lower revision in all orders", () => {
     const model = configurationModel(FOLLOWING, acceptance, followerCore);
     expect(explore(model).violation).toBeUndefined();
   });
 
   it.each([
     [
-      "skips the condition on the revision",
+      "omits the condition on the revision",
       "conditions: [{ key: IN_FORCE_KEY, version: inForceRow.version }],",
       "conditions: [],",
       "each revision has the audit row of the change that made it",
@@ -59,66 +61,71 @@
       "each revision has the audit row of the change that made it",
     ],
     [
-      "does not look for its own operation after a lost answer",
+      "does not look for its own operation after a lost response",
       "if (operationRow.version !== ABSENT) {",
       "if (operationRow.version < ABSENT) {",
-      "who is told not accepted or superseded never is",
+      "a change reported as not accepted or superseded is never accepted",
     ],
     [
       "accepts an operation again on top of itself",
       "if (operationRow.version !== ABSENT) {",
       "if (operationRow.version < ABSENT) {",
-      "an operation is accepted once at most",
+      "an operation is accepted at most once",
     ],
     [
-      "calls a lost answer not accepted",
+      "reports a lost response as not accepted",
       'state.mayBeWritten ? "unknown" : "not-accepted"',
       '"not-accepted"',
-      "who is told not accepted or superseded never is",
+      "a change reported as not accepted or superseded is never accepted",
     ],
     [
-      "takes a retry for a first sending",
+      "treats a retry as the first attempt",
       "origin.firstSending !== true",
       "false",
-      "who is told not accepted or superseded never is",
+      "a change reported as not accepted or superseded is never accepted",
     ],
     [
-      "takes a conflict for a commit",
+      "treats a conflict as a commit",
       'return event.result.kind === "committed"',
       "return event.result.kind !== undefined",
-      "who is told accepted was accepted, as that revision",
+      "a change reported as accepted was accepted as that revision",
     ],
     [
-      "does not read who won",
+      "does not read the winner's audit entry",
       "auditKey(origin.seenRevision + 1),",
       "auditKey(origin.seenRevision + 2),",
-      "the loser is told who won",
+      "a superseded change is reported with its winner",
     ],
-  ])("is caught when it %s", async (_, find, replace, property) => {
-    const path = corePath("configuration/acceptance.ts");
-    const core = await loadMutant<AcceptanceCore>(path, { find, replace });
-    const model = configurationModel(RACE, core, followerCore);
-    expect(explore(model, [property]).violation?.property).toBe(property);
-  });
+  ])(
+    "reports a violation when the core %s",
+    async (_, find, replace, property) => {
+      const path = corePath("configuration/acceptance.ts");
+      const core = await loadMutant<AcceptanceCore>(path, { find, replace });
+      const model = configurationModel(RACE, core, followerCore);
+      expect(explore(model, [property]).violation?.property).toBe(property);
+    },
+  );
 
-  it("is caught when a follower runs what was overwritten", async () => {
+  it("reports a violation when a follower runs an overwritten change", async () => {
     const path = corePath("configuration/acceptance.ts");
     const core = await loadMutant<AcceptanceCore>(path, {
       find: "conditions: [{ key: IN_FORCE_KEY, version: inForceRow.version }],",
       replace: "conditions: [],",
     });
-    const property = "a follower runs only what was accepted";
+    const property = "a follower runs only accepted changes";
     const model = configurationModel(FOLLOWING, core, followerCore);
     expect(explore(model, [property]).violation?.property).toBe(property);
   });
 
-  it("is caught when a follower takes a lower revision", async () => {
+  it("reports a violation when a follower adopts a lower revision", async () => {
     const path = corePath("configuration/follower_core.ts");
     const core = await loadMutant<FollowerCore>(path, {
       find: "if (inForce.revision < localRevision) {",
       replace: "if (inForce.revision < 0) {",
     });
     const found = explore(configurationModel(FOLLOWING, acceptance, core));
-    expect(found.violation?.property).toBe("no follower goes back");
+    expect(found.violation?.property).toBe(
+      "no follower returns to a lower revision",
+    );
   });
 });
--- a/packages/model/src/core_path.ts
+++ b/packages/model/src/core_path.ts
@@ -1,5 +1,5 @@
 /**
- * Where the cores' sources are, for mutation.
+ * Paths of the cores' source files, to load mutants of them.
  *
  * @module
  */
--- a/packages/model/src/escrow_model.ts
+++ b/packages/model/src/escrow_model.ts
@@ -1,10 +1,10 @@
 /**
- * The model of slot escrow: VMs lend each other slots and take over each
- * other's, while messages come late, twice or never and VMs restart.
+ * Model of slot escrow: VMs lend slots to each other and take over slots from
+ * each other, while messages are delayed, repeated or lost and VMs restart.
  *
- * What is in flight may be delivered at any time or not at all, which covers
- * loss, delay and reordering. All VMs read one clock; that clocks differ is
- * played by the property tests.
+ * A message in flight may be delivered at any time or never, which covers loss,
+ * delay and reordering. All VMs share one clock; the property tests cover
+ * different clocks.
  *
  * @module
  */
@@ -25,9 +25,9 @@
 import type { Model } from "./explore.ts";
 
 const POOL = id<PoolId>("pool");
-/** One step of the model's clock. */
+/** Duration of one step of the model's clock. */
 const STEP_MS = 1_000;
-/** Loans are played within one term, moves without loans. */
+/** Loans are modelled within one term, and moves to another owner without loans. */
 const LOAN_TIMES: EscrowTimes = {
   termMs: 60_000,
   loanMs: 2_000,
@@ -35,33 +35,34 @@
 };
 const MOVE_TIMES: EscrowTimes = { ...LOAN_TIMES, termMs: 2_000 };
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface EscrowBounds {
   readonly vms: number;
   readonly slots: number;
   /** Steps of the clock. */
   readonly steps: number;
-  /** Messages in flight at once; what is sent beyond them is lost. */
+  /** Maximum number of messages in flight at once; messages beyond it are lost. */
   readonly inFlight: number;
   readonly repeats: number;
   readonly restarts: number;
-  /** Times that a VM starts or ends a wish for all slots. */
+  /** Number of times that a VM starts or stops requesting all slots. */
   readonly wishes: number;
-  /** VMs that stay owners under the second plan; 0 where there is none. */
+  /** Number of VMs that stay owners under the second plan; 0 for no second plan. */
   readonly stay: number;
 }
 
-/** What production runs, or a deliberate fault. */
+/** The production behaviour, or one with a deliberate fault. */
 export interface EscrowVariant {
   readonly rules: EscrowRules;
-  /** A restarted VM goes on with what it held, though its clock has started anew. */
-  readonly remembers: boolean;
+  /** Whether a restarted VM keeps its state, although its clock restarts at 0. */
+  readonly keepsState: boolean;
 }
 
 interface Vm {
+  /** Number of restarts. */
   readonly life: number;
   readonly core: EscrowState;
-  /** When this life's clock stood at 0: a process's clock starts with it. */
+  /** When this instance started: the clock of a process starts at 0 with it. */
   readonly startedAt: number;
 }
 
@@ -82,60 +83,66 @@
 
 /** A step of the model. */
 export type EscrowEvent =
-  /** Time passes; then every VM ticks, but one that is frozen. */
+  /** Time passes, then every VM except the frozen one ticks. */
   | { readonly type: "wait"; readonly frozen: number }
   | { readonly type: "deliver"; readonly at: number; readonly keep: boolean }
   | { readonly type: "wish"; readonly vm: number; readonly slots: number }
   | { readonly type: "read-plan"; readonly vm: number }
   | { readonly type: "restart"; readonly vm: number };
 
-/** Without a second plan nobody's term is in question: renewals only make more states. */
+/**
+ * Messages left out without a second plan: terms don't matter then, and
+ * renewals would only add states.
+ */
 function isRenewal({ kind }: EscrowMessage): boolean {
   return kind === "renew" || kind === "renewed";
 }
 
-/** Builds the model around the core. It starts when the first plan is settled. */
+/** Builds the model around the core. In its initial state the first plan is settled. */
 export function escrowModel(
   bounds: EscrowBounds,
-  { rules, remembers }: EscrowVariant,
+  { rules, keepsState }: EscrowVariant,
 ): Model<EscrowModelState, EscrowEvent> {
   const times = bounds.stay > 0 ? MOVE_TIMES : LOAN_TIMES;
 
-  function selfOf(vm: number, life: number) {
+  function selfOf(vm: number, restarts: number) {
     return {
       vm: id<VmId>(`e${vm}`),
-      instance: id<InstanceId>(`e${vm}-${life}`),
+      instance: id<InstanceId>(`e${vm}-${restarts}`),
     };
   }
 
-  function coreOf(vm: number, life: number, core: EscrowState): Escrow {
-    return new Escrow({ self: selfOf(vm, life), times, rules }, core);
+  function escrowOf(vm: number, restarts: number, core: EscrowState): Escrow {
+    return new Escrow({ self: selfOf(vm, restarts), times, rules }, core);
   }
 
-  const everyone = Array.from({ length: bounds.vms }, (_, vm) => selfOf(vm, 0));
+  const instances = Array.from(
+    { length: bounds.vms },
+    (_, vm) => selfOf(vm, 0),
+  );
   const pools = [{ pool: POOL, total: bounds.slots }];
   const first = nextPlan(undefined, {
-    owners: everyone,
+    owners: instances,
     pools,
     settled: false,
   });
   const second: EscrowPlan | undefined = bounds.stay === 0
     ? undefined
     : nextPlan(first, {
-      owners: everyone.slice(0, bounds.stay),
+      owners: instances.slice(0, bounds.stay),
       pools,
       settled: true,
     });
 
-  function startedVm(vm: number): Vm {
+  function initialVm(vm: number): Vm {
     const core = initialEscrowState();
-    const escrow = coreOf(vm, 0, core);
+    const escrow = escrowOf(vm, 0, core);
     escrow.adopt(first, 0);
     escrow.confirmCurrent(first.epoch, { askedAt: 0, now: 0 });
     return { life: 0, core, startedAt: 0 };
   }
 
-  function act(
+  function performStep(
     state: EscrowModelState,
     index: number,
     step: (escrow: Escrow, now: number) => readonly EscrowEffect[],
@@ -143,7 +150,7 @@
     const vm = state.vms[index]!;
     const core = structuredClone(vm.core);
     const effects = step(
-      coreOf(index, vm.life, core),
+      escrowOf(index, vm.life, core),
       state.now - vm.startedAt,
     );
     const sent = effects
@@ -164,8 +171,8 @@
     const { to, message } = state.network[at]!;
     const network = keep ? state.network : state.network.toSpliced(at, 1);
     const repeats = state.repeats - (keep ? 1 : 0);
-    const index = everyone.findIndex(({ vm }) => vm === to);
-    return act(
+    const index = instances.findIndex(({ vm }) => vm === to);
+    return performStep(
       { ...state, network, repeats },
       index,
       (escrow, now) => escrow.receive(message, now),
@@ -176,7 +183,7 @@
     let after: EscrowModelState = { ...state, now: state.now + STEP_MS };
     for (let vm = 0; vm < bounds.vms; vm++) {
       if (vm !== frozen) {
-        after = act(after, vm, (escrow, now) => escrow.tick(now));
+        after = performStep(after, vm, (escrow, now) => escrow.tick(now));
       }
     }
     return after;
@@ -186,7 +193,7 @@
     const vm = state.vms[index]!;
     const restarted: Vm = {
       life: vm.life + 1,
-      core: remembers ? vm.core : initialEscrowState(),
+      core: keepsState ? vm.core : initialEscrowState(),
       startedAt: state.now,
     };
     return {
@@ -206,13 +213,13 @@
       case "deliver":
         return deliver(state, event);
       case "wish":
-        return act(
+        return performStep(
           { ...state, wishes: state.wishes - 1 },
           event.vm,
           (escrow, now) => escrow.want(POOL, event.slots, now),
         );
       case "read-plan":
-        return act(state, event.vm, (escrow, now) => [
+        return performStep(state, event.vm, (escrow, now) => [
           ...escrow.adopt(second!, now),
           ...escrow.confirmCurrent(second!.epoch, { askedAt: now, now }),
         ]);
@@ -222,38 +229,38 @@
   }
 
   function events(state: EscrowModelState): readonly EscrowEvent[] {
-    const possible: EscrowEvent[] = [];
+    const possibleEvents: EscrowEvent[] = [];
     if (state.now < bounds.steps * STEP_MS) {
       for (let frozen = -1; frozen < bounds.vms; frozen++) {
-        possible.push({ type: "wait", frozen });
+        possibleEvents.push({ type: "wait", frozen });
       }
     }
     state.network.forEach((_, at) => {
-      possible.push({ type: "deliver", at, keep: false });
+      possibleEvents.push({ type: "deliver", at, keep: false });
       if (state.repeats > 0) {
-        possible.push({ type: "deliver", at, keep: true });
+        possibleEvents.push({ type: "deliver", at, keep: true });
       }
     });
     state.vms.forEach((_, index) => {
       if (state.restarts > 0) {
-        possible.push({ type: "restart", vm: index });
+        possibleEvents.push({ type: "restart", vm: index });
       }
       if (second !== undefined) {
-        possible.push({ type: "read-plan", vm: index });
+        possibleEvents.push({ type: "read-plan", vm: index });
       }
     });
     if (state.wishes > 0) {
-      // One VM lacks slots: the others only lend.
+      // Only VM 0 requests slots; the others only lend.
       const wanted = state.vms[0]!.core.pools[POOL]?.wanted ?? 0;
       const slots = wanted === 0 ? bounds.slots : 0;
-      possible.push({ type: "wish", vm: 0, slots });
+      possibleEvents.push({ type: "wish", vm: 0, slots });
     }
-    return possible;
+    return possibleEvents;
   }
 
   function isWithinTotal({ vms, now }: EscrowModelState): boolean {
     const held = vms.map(({ life, core, startedAt }, index) =>
-      coreOf(index, life, core).held(POOL, now - startedAt)
+      escrowOf(index, life, core).held(POOL, now - startedAt)
     );
     return held.reduce((a, b) => a + b, 0) <= bounds.slots;
   }
@@ -263,7 +270,7 @@
     bounds: { ...bounds },
     initial: {
       now: 0,
-      vms: everyone.map((_, vm) => startedVm(vm)),
+      vms: instances.map((_, vm) => initialVm(vm)),
       network: [],
       repeats: bounds.repeats,
       restarts: bounds.restarts,
--- a/packages/model/src/escrow_model_test.ts
+++ b/packages/model/src/escrow_model_test.ts
@@ -5,8 +5,8 @@
 import { explore } from "./explore.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
 const LOANS: EscrowBounds = {
   vms: 2,
@@ -27,24 +27,24 @@
   wishes: 1,
 };
 
-const SAFE = { rules: DEFAULT_RULES, remembers: false };
+const PRODUCTION = { rules: DEFAULT_RULES, keepsState: false };
 
-describe("slot escrow", { timeout: EXPLORING_MS }, () => {
-  // Messages about a loan come late, twice or never while one VM freezes or
-  // restarts. With one slot on two VMs a target is sent more than it can run.
+describe("model of slot escrow", { timeout: EXPLORATION_TIMEOUT_MS }, () => {
+  // Messages about a loan are delayed, repeated or lost while one VM freezes or
+  // restarts. If two VMs held one slot, a target would get more than it can run.
   it.each([
     ["lending", LOANS],
     ["moving to another owner", MOVES],
     ["restarting", RESTARTS],
-  ])("holds no slot twice in all orders of %s", (_, bounds) => {
-    const found = explore(escrowModel(bounds, SAFE));
+  ])("never has two VMs hold one slot in all orders of %s", (_, bounds) => {
+    const found = explore(escrowModel(bounds, PRODUCTION));
     expect(found.violation).toBeUndefined();
     expect(found.states).toBeGreaterThan(500);
   });
 
   it.each([
     [
-      "lends without lowering its own count",
+      "lends slots without reducing its own count",
       LOANS,
       "lent += loan.pool === pool ? loan.slots : 0;",
       "lent += 0 * loan.slots;",
@@ -56,42 +56,45 @@
       "return askedAt + 2 * durationMs;",
     ],
     [
-      "takes a loan back early",
+      "takes a loan back too early",
       LOANS,
       "return now + durationMs + TAKE_BACK_MARGIN_MS;",
       "return now + durationMs / 2;",
     ],
     [
-      "raises before the lowering is confirmed",
+      "raises a share before the lowering of another is confirmed",
       MOVES,
       "if (silent === 0) {",
       "if (silent >= 0) {",
     ],
     [
-      "does not wait for a silent owner's term",
+      "does not wait for the end of an unresponsive owner's term",
       MOVES,
       "now >= state.oneSilentSince + times.termMs + TAKE_BACK_MARGIN_MS",
       "now >= state.oneSilentSince",
     ],
     [
-      "vouches for an epoch that it has left",
+      "renews terms for an epoch that it no longer follows",
       MOVES,
       "return state.plan?.epoch === epoch &&",
       "return epoch > 0 &&",
     ],
-  ])("catches a core that %s", async (_, bounds, find, replace) => {
-    const path = corePath("escrow/rules.ts");
-    const mutant = await loadMutant<{ DEFAULT_RULES: EscrowRules }>(path, {
-      find,
-      replace,
-    });
-    const variant = { rules: mutant.DEFAULT_RULES, remembers: false };
-    const { violation } = explore(escrowModel(bounds, variant));
-    expect(violation?.property).toBe("slots held never exceed the total");
-  });
+  ])(
+    "reports a violation when the core %s",
+    async (_, bounds, find, replace) => {
+      const path = corePath("escrow/rules.ts");
+      const mutant = await loadMutant<{ DEFAULT_RULES: EscrowRules }>(path, {
+        find,
+        replace,
+      });
+      const variant = { rules: mutant.DEFAULT_RULES, keepsState: false };
+      const { violation } = explore(escrowModel(bounds, variant));
+      expect(violation?.property).toBe("slots held never exceed the total");
+    },
+  );
 
-  it("catches a VM that goes on with its loans after a restart", () => {
-    const variant = { rules: DEFAULT_RULES, remembers: true };
+  it("reports a violation when a VM keeps its loans after a restart", () => {
+    const variant = { rules: DEFAULT_RULES, keepsState: true };
     const { violation } = explore(escrowModel(RESTARTS, variant));
     expect(violation?.property).toBe("slots held never exceed the total");
   });
--- a/packages/model/src/freshness_model.ts
+++ b/packages/model/src/freshness_model.ts
@@ -1,6 +1,7 @@
 /**
- * The model of freshness: a right is taken away in a table while processes read it,
- * ask each other in chains that change, lose answers and are suspended.
+ * Model of freshness: a permission is removed from a table while processes read
+ * the table, query each other in changing chains, lose responses and are
+ * suspended.
  *
  * @module
  */
@@ -11,59 +12,64 @@
 /** The functions under test: the production ones, or a mutant of them. */
 export type FreshnessCore = typeof freshness;
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface FreshnessBounds {
   readonly processes: number;
-  /** The first so many read the table; all ask any that come before them. */
+  /**
+   * The first `readers` processes read the table; each process queries any
+   * process before it.
+   */
   readonly readers: number;
   /** Steps of time. */
   readonly steps: number;
-  /** Readings and questions that begin. */
+  /** Number of reads and queries. */
   readonly calls: number;
-  /** Steps that processes spend suspended. */
+  /** Steps for which processes are suspended, in total. */
   readonly suspensions: number;
 }
 
-/** How many steps what is known may be relied on. */
-const BOUND_STEPS = 1;
+/** Maximum age at which information may be relied on, in steps. */
+const MAX_AGE_STEPS = 1;
 
-/** A reading or a question on its way. */
+/** A read of the table or a query to a process, in flight. */
 interface Call {
-  /** Who began it. */
+  /** The process that started it. */
   readonly by: number;
-  /** Who is asked; undefined for the table. */
+  /** The process that is queried; undefined for the table. */
   readonly of: number | undefined;
-  /** Its start on the clock of `by`. */
+  /** When it started, on the clock of `by`. */
   readonly startedAt: number;
-  /** When it reached the other process, on that one's clock. */
+  /** When it reached the process `of`, on that one's clock. */
   readonly arrivedAt: number | undefined;
-  /** What the other side said; undefined until then. */
+  /** The response; undefined until it was sent. */
   readonly answer: Answer | undefined;
 }
 
+/** The response to a read or a query. */
 interface Answer {
   readonly knowsOfRemoval: boolean;
-  /** Of a process; undefined where the table answered. */
+  /** Freshness reported by the process; undefined for the table. */
   readonly word: freshness.FreshnessWord | undefined;
 }
 
 interface Process {
   readonly knowsOfRemoval: boolean;
-  /** On its own clock. */
+  /** Time since which its information is known to be current, on its own clock. */
   readonly knownSince: number;
-  /** Steps of its monotonic clock. */
+  /** Its monotonic clock, in steps, without the time of suspension. */
   readonly clock: number;
-  /** Steps for which it was suspended, as it notices when it goes on. */
+  /** Steps for which it was suspended, detected when it resumes. */
   readonly lost: number;
 }
 
 /** A state of the model. */
 export interface FreshnessState {
   readonly time: number;
-  /** When the right was taken away; undefined until then. */
+  /** When the permission was removed; undefined until then. */
   readonly removedAt: number | undefined;
   readonly processes: readonly Process[];
   readonly calls: readonly Call[];
+  /** Number of calls started. */
   readonly begun: number;
   readonly suspensions: number;
 }
@@ -81,7 +87,7 @@
   | { readonly type: "is-answered"; readonly call: number }
   | { readonly type: "ends"; readonly call: number; readonly isLost: boolean };
 
-/** Builds the model around the functions. */
+/** Builds the model with the functions under test. */
 export function freshnessModel(
   bounds: FreshnessBounds,
   core: FreshnessCore,
@@ -105,20 +111,23 @@
     events: (state) => eventsOf(state, bounds),
     next: (state, event) => next(state, event, core),
     properties: {
-      "nobody relies on a right that was removed longer ago than allowed": (
-        { time, removedAt, processes },
-      ) =>
-        removedAt === undefined || time - removedAt <= BOUND_STEPS ||
-        processes.every((one) => one.knowsOfRemoval || !relies(one, core)),
+      "no process relies on a permission that was removed longer ago than allowed":
+        (
+          { time, removedAt, processes },
+        ) =>
+          removedAt === undefined || time - removedAt <= MAX_AGE_STEPS ||
+          processes.every((process) =>
+            process.knowsOfRemoval || !mayRely(process, core)
+          ),
     },
   };
 }
 
-function relies(
+function mayRely(
   { knownSince, clock, lost }: Process,
   core: FreshnessCore,
 ): boolean {
-  return core.isReliable(clock + lost - knownSince, BOUND_STEPS);
+  return core.isReliable(clock + lost - knownSince, MAX_AGE_STEPS);
 }
 
 function eventsOf(
@@ -126,12 +135,12 @@
   bounds: FreshnessBounds,
 ): readonly FreshnessEvent[] {
   const events: FreshnessEvent[] = [];
-  const names = state.processes.map((_, at) => at);
+  const indexes = state.processes.map((_, index) => index);
   if (state.time < bounds.steps) {
     events.push({ type: "time-passes", suspended: [] });
     if (state.suspensions < bounds.suspensions) {
-      names.forEach((one) =>
-        events.push({ type: "time-passes", suspended: [one] })
+      indexes.forEach((index) =>
+        events.push({ type: "time-passes", suspended: [index] })
       );
     }
   }
@@ -139,18 +148,18 @@
     events.push({ type: "right-removed" });
   }
   if (state.begun < bounds.calls) {
-    for (const by of names) {
-      const table = by < bounds.readers ? [undefined] : [];
-      [...table, ...names.slice(0, by)].forEach((of) =>
+    for (const by of indexes) {
+      const tableIfReader = by < bounds.readers ? [undefined] : [];
+      [...tableIfReader, ...indexes.slice(0, by)].forEach((of) =>
         events.push({ type: "asks", by, of })
       );
     }
   }
-  state.calls.forEach((call, at) => events.push(...stepsOf(call, at)));
+  state.calls.forEach((call, index) => events.push(...callEvents(call, index)));
   return events;
 }
 
-function stepsOf(
+function callEvents(
   { of, arrivedAt, answer }: Call,
   call: number,
 ): readonly FreshnessEvent[] {
@@ -172,7 +181,7 @@
 ): FreshnessState {
   switch (event.type) {
     case "time-passes":
-      return timePasses(state, event.suspended);
+      return passTime(state, event.suspended);
     case "right-removed":
       return { ...state, removedAt: state.time };
     case "asks": {
@@ -201,16 +210,16 @@
       return withCall(state, event.call, { ...call, answer });
     }
     case "ends":
-      return ends(state, event, core);
+      return endCall(state, event, core);
   }
 }
 
-/** The clock of a process that goes on while it is suspended. */
+/** A clock of the process that includes the time of suspension. */
 function steadyClock({ clock, lost }: Process): number {
   return clock + lost;
 }
 
-function timePasses(
+function passTime(
   state: FreshnessState,
   suspended: readonly number[],
 ): FreshnessState {
@@ -218,10 +227,10 @@
     ...state,
     time: state.time + 1,
     suspensions: state.suspensions + suspended.length,
-    processes: state.processes.map((one, at) =>
-      suspended.includes(at)
-        ? { ...one, lost: one.lost + 1 }
-        : { ...one, clock: one.clock + 1 }
+    processes: state.processes.map((process, index) =>
+      suspended.includes(index)
+        ? { ...process, lost: process.lost + 1 }
+        : { ...process, clock: process.clock + 1 }
     ),
   };
 }
@@ -234,23 +243,23 @@
   if (of === undefined) {
     return { knowsOfRemoval: removedAt !== undefined, word: undefined };
   }
-  const asked = processes[of]!;
+  const process = processes[of]!;
   return {
-    knowsOfRemoval: asked.knowsOfRemoval,
-    word: core.freshnessWord(asked.knownSince, {
+    knowsOfRemoval: process.knowsOfRemoval,
+    word: core.freshnessWord(process.knownSince, {
       askedAt: arrivedAt!,
-      answeredAt: steadyClock(asked),
+      answeredAt: steadyClock(process),
     }),
   };
 }
 
-function ends(
+function endCall(
   state: FreshnessState,
-  { call: at, isLost }: Extract<FreshnessEvent, { type: "ends" }>,
+  { call: index, isLost }: Extract<FreshnessEvent, { type: "ends" }>,
   core: FreshnessCore,
 ): FreshnessState {
-  const { by, startedAt, answer } = state.calls[at]!;
-  const calls = state.calls.toSpliced(at, 1);
+  const { by, startedAt, answer } = state.calls[index]!;
+  const calls = state.calls.toSpliced(index, 1);
   if (isLost) {
     return { ...state, calls };
   }
@@ -273,8 +282,8 @@
 
 function withCall(
   state: FreshnessState,
-  at: number,
+  index: number,
   call: Call,
 ): FreshnessState {
-  return { ...state, calls: state.calls.with(at, call) };
+  return { ...state, calls: state.calls.with(index, call) };
 }
--- a/packages/model/src/freshness_model_test.ts
+++ b/packages/model/src/freshness_model_test.ts
@@ -10,16 +10,16 @@
 } from "./freshness_model.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
-/** Longer ways through time; a reader that changes, and suspensions. */
+/** More steps of time with one reader; two readers and a suspension. */
 const BOUNDS: readonly FreshnessBounds[] = [
   { processes: 2, readers: 1, steps: 3, calls: 2, suspensions: 0 },
   { processes: 2, readers: 2, steps: 2, calls: 2, suspensions: 1 },
 ];
 
-/** Chains of four are too many states to explore; walks through them are random. */
+/** A chain of four has too many states to explore all; it is checked by random walks. */
 const CHAIN: FreshnessBounds = {
   processes: 4,
   readers: 2,
@@ -27,10 +27,10 @@
   calls: 12,
   suspensions: 3,
 };
-const STEPS_OF_A_WALK = 60;
+const STEPS_PER_WALK = 60;
 
-/** The first state of a random walk in which a property does not hold. */
-function walk(core: FreshnessCore, choices: readonly number[]) {
+/** Returns the first state of a random walk that violates a property. */
+function findViolation(core: FreshnessCore, choices: readonly number[]) {
   const model = freshnessModel(CHAIN, core);
   let state = model.initial;
   for (const choice of choices) {
@@ -46,53 +46,56 @@
   return undefined;
 }
 
-describe("a removed right", { timeout: EXPLORING_MS }, () => {
+describe("model of freshness", { timeout: EXPLORATION_TIMEOUT_MS }, () => {
   it.each(BOUNDS)(
-    "is relied on by nobody past the bound, whatever is late, lost or suspended: %o",
+    "lets no process rely on a removed permission past the limit despite delays, losses and suspensions: %o",
     (bounds) => {
       const found = explore(freshnessModel(bounds, freshness));
       expect(found.violation).toBeUndefined();
     },
   );
 
-  it("is relied on by nobody at the end of chains that change", () => {
+  it("lets no process rely on a removed permission past the limit at the end of changing chains", () => {
     const choices = fc.array(fc.nat(10_000), {
-      minLength: STEPS_OF_A_WALK,
-      maxLength: STEPS_OF_A_WALK,
+      minLength: STEPS_PER_WALK,
+      maxLength: STEPS_PER_WALK,
     });
     fc.assert(
-      fc.property(choices, (walked) => walk(freshness, walked) === undefined),
+      fc.property(
+        choices,
+        (walked) => findViolation(freshness, walked) === undefined,
+      ),
       { numRuns: 5_000, seed: 1 },
     );
   });
 
   it.each([
     [
-      "counts from the end of the reading",
+      "counts the age from the end of the read",
       "{ startedAt }: Reading): number {\n  return startedAt;",
       "{ endedAt }: Reading): number {\n  return endedAt;",
     ],
     [
-      "leaves the time on the way out",
+      "ignores the time in transit",
       "return answeredAt - wayMs - readAgeMs;",
       "return answeredAt - readAgeMs;",
     ],
     [
-      "forgets the age when it turns to another process",
+      "ignores the age at the queried process",
       "return answeredAt - wayMs - readAgeMs;",
       "return answeredAt - wayMs;",
     ],
     [
-      "takes all of the question's time for time at the other process",
+      "counts too much time as spent at the queried process",
       "heldMs: Math.floor(answeredAt - askedAt),",
       "heldMs: Math.floor(answeredAt - askedAt) + 1,",
     ],
     [
-      "relies a step longer",
+      "relies on information for a step too long",
       "return ageMs <= boundMs;",
       "return ageMs <= boundMs + 1;",
     ],
-  ])("is not missed where a process %s", async (_, find, replace) => {
+  ])("reports a violation when a process %s", async (_, find, replace) => {
     const path = corePath("freshness/freshness.ts");
     const core = await loadMutant<FreshnessCore>(path, { find, replace });
     const found = BOUNDS.map((bounds) => explore(freshnessModel(bounds, core)));
--- a/packages/model/src/held_back_model.ts
+++ b/packages/model/src/held_back_model.ts
@@ -1,7 +1,7 @@
 /**
- * The model of held-back requests: one request crashes each target that runs
- * it, another shares targets with it now and then, and two VMs tell each other
- * late, in any order and twice.
+ * Model of held-back requests. One request, the culprit, crashes each target
+ * that runs it; another request sometimes shares a target with it. The VMs'
+ * messages arrive late, in any order and repeatedly.
  *
  * @module
  */
@@ -17,18 +17,18 @@
 /** The class under test: the production one, or a mutant of it. */
 export type HeldBackCore = { readonly HeldBack: typeof HeldBack };
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface HeldBackBounds {
   readonly vms: number;
-  /** Times that the crashing request is sent. */
+  /** Number of times that the culprit is sent. */
   readonly sendings: number;
-  /** Times that the other request runs on a target of its own and completes. */
+  /** Number of times that the other request runs on a separate target and completes. */
   readonly completions: number;
-  /** Messages that come twice. */
+  /** Number of repeated deliveries of messages. */
   readonly repeats: number;
 }
 
-/** What one VM took in, in order. Its table is built from it. */
+/** An input of one VM. Its table is rebuilt from all its inputs in order. */
 type Input =
   | {
     readonly kind: "died";
@@ -38,7 +38,7 @@
   | { readonly kind: "completed" }
   | { readonly kind: "heard"; readonly message: HeldBackMessage };
 
-interface Mailed {
+interface Envelope {
   readonly to: number;
   readonly message: HeldBackMessage;
 }
@@ -46,8 +46,11 @@
 /** A state of the model. */
 export interface HeldBackState {
   readonly inputs: readonly (readonly Input[])[];
-  readonly mail: readonly Mailed[];
-  /** Targets that died, and on how many of them the other request was too. */
+  readonly mail: readonly Envelope[];
+  /**
+   * Number of targets that crashed; `shared` counts those that also ran the
+   * other request.
+   */
   readonly deaths: number;
   readonly shared: number;
   readonly completions: number;
@@ -70,22 +73,28 @@
 
 const CULPRIT = "culprit" as Fingerprint;
 const OTHER = "other" as Fingerprint;
-/** Far enough apart that no two deaths count as one event of a rack or zone. */
+/**
+ * Time between two inputs, long enough that no two crashes count as one failure
+ * of a rack or zone.
+ */
 const STEP_MS = 5_000;
 
-/** Builds the model around the class. */
+/** Builds the model with the class under test. */
 export function heldBackModel(
   bounds: HeldBackBounds,
   core: HeldBackCore,
 ): Model<HeldBackState, HeldBackEvent> {
-  /** The table after these inputs, and what the last of them has the peers told. */
+  /**
+   * Returns the table after these inputs, and the messages to peers that the
+   * last one caused.
+   */
   function replay(inputs: readonly Input[]) {
     const table = new core.HeldBack();
-    let news: readonly HeldBackMessage[] = [];
+    let messages: readonly HeldBackMessage[] = [];
     inputs.forEach((input, index) => {
-      news = take(table, input, index * STEP_MS);
+      messages = applyInput(table, input, index * STEP_MS);
     });
-    return { table, news };
+    return { table, messages };
   }
 
   function verdict(inputs: readonly Input[], fingerprint: Fingerprint): string {
@@ -93,17 +102,21 @@
     return table.verdict(fingerprint, inputs.length * STEP_MS).kind;
   }
 
-  function put(state: HeldBackState, vm: number, input: Input): HeldBackState {
-    const mine = [...state.inputs[vm]!, input];
-    const { news } = replay(mine);
+  function addInput(
+    state: HeldBackState,
+    vm: number,
+    input: Input,
+  ): HeldBackState {
+    const vmInputs = [...state.inputs[vm]!, input];
+    const { messages } = replay(vmInputs);
     const others = state.inputs.map((_, other) => other)
       .filter((other) => other !== vm);
-    const mail = news.flatMap((message) =>
+    const mail = messages.flatMap((message) =>
       others.map((to) => ({ to, message }))
     );
     return {
       ...state,
-      inputs: state.inputs.with(vm, mine),
+      inputs: state.inputs.with(vm, vmInputs),
       mail: [...state.mail, ...mail],
     };
   }
@@ -113,17 +126,21 @@
       case "crash-target": {
         const target = id<TargetId>(`target-${state.deaths}`);
         const inFlight = event.isShared ? [CULPRIT, OTHER] : [CULPRIT];
-        const after = put(state, event.vm, { kind: "died", target, inFlight });
+        const after = addInput(state, event.vm, {
+          kind: "died",
+          target,
+          inFlight,
+        });
         const shared = state.shared + (event.isShared ? 1 : 0);
         return { ...after, deaths: state.deaths + 1, shared };
       }
       case "complete": {
-        const after = put(state, event.vm, { kind: "completed" });
+        const after = addInput(state, event.vm, { kind: "completed" });
         return { ...after, completions: state.completions + 1 };
       }
       case "deliver": {
         const { to, message } = state.mail[event.mailed]!;
-        const after = put(state, to, { kind: "heard", message });
+        const after = addInput(state, to, { kind: "heard", message });
         const mail = event.comesAgain
           ? state.mail
           : state.mail.filter((_, index) => index !== event.mailed);
@@ -172,27 +189,34 @@
     events: eventsOf,
     next,
     properties: {
-      "who knows of two deaths holds the culprit back": ({ inputs }) =>
-        inputs.every((mine) =>
-          deathsKnown(mine) < 2 || verdict(mine, CULPRIT) === "held-back"
+      "a VM that knows of two crashes holds the culprit back": ({ inputs }) =>
+        inputs.every((vmInputs) =>
+          countKnownCrashes(vmInputs) < 2 ||
+          verdict(vmInputs, CULPRIT) === "held-back"
         ),
-      "the culprit is free again nowhere once all is told": (state) =>
+      "every VM holds the culprit back once all messages have arrived": (
+        state,
+      ) =>
         state.deaths < 2 || state.mail.length > 0 ||
-        state.inputs.every((mine) => verdict(mine, CULPRIT) === "held-back"),
-      "one shared target holds nobody else back": ({ inputs, shared }) =>
+        state.inputs.every((vmInputs) =>
+          verdict(vmInputs, CULPRIT) === "held-back"
+        ),
+      "no other request is held back for one shared target": (
+        { inputs, shared },
+      ) =>
         shared > 1 ||
-        inputs.every((mine) => verdict(mine, OTHER) !== "held-back"),
-      "who knows of a completion never holds that request back": (
+        inputs.every((vmInputs) => verdict(vmInputs, OTHER) !== "held-back"),
+      "a VM that knows of a completion never holds that request back": (
         { inputs },
       ) =>
-        inputs.every((mine) =>
-          !isCompletionKnown(mine) || verdict(mine, OTHER) === "free"
+        inputs.every((vmInputs) =>
+          !isCompletionKnown(vmInputs) || verdict(vmInputs, OTHER) === "free"
         ),
     },
   };
 }
 
-function take(
+function applyInput(
   table: HeldBack,
   input: Input,
   now: number,
@@ -208,20 +232,23 @@
   }
 }
 
-function deathsKnown(inputs: readonly Input[]): number {
+function countKnownCrashes(inputs: readonly Input[]): number {
   const targets = inputs.flatMap((input) => {
     if (input.kind === "died") {
       return [input.target];
     }
-    const isDeath = input.kind === "heard" &&
+    const isCrash = input.kind === "heard" &&
       input.message.kind === "coincided" &&
       input.message.fingerprint === CULPRIT;
-    return isDeath ? [(input.message as { target: TargetId }).target] : [];
+    return isCrash ? [(input.message as { target: TargetId }).target] : [];
   });
   return new Set(targets).size;
 }
 
-/** A completion counts from when the VM had reason to note it: after a coincidence. */
+/**
+ * Whether the VM knows of a completion; it records one only for a request that
+ * it suspects already.
+ */
 function isCompletionKnown(inputs: readonly Input[]): boolean {
   const suspectedAt = inputs.findIndex((input) =>
     input.kind === "died" && input.inFlight.includes(OTHER) ||
--- a/packages/model/src/held_back_model_test.ts
+++ b/packages/model/src/held_back_model_test.ts
@@ -9,8 +9,8 @@
 } from "./held_back_model.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
 const BOUNDS: HeldBackBounds = {
   vms: 2,
@@ -19,44 +19,51 @@
   repeats: 1,
 };
 
-describe("held-back requests", { timeout: EXPLORING_MS }, () => {
-  // A request that crashes its target comes again and again through two VMs
-  // that hear of each other late. Users lose targets until both hold it back,
-  // and a neighbour of it must not be refused with it.
-  it("stop after two deaths and take no neighbour along, in all orders", () => {
-    const found = explore(heldBackModel(BOUNDS, { HeldBack }));
-    expect(found.violation).toBeUndefined();
-  });
+describe(
+  "model of held-back requests",
+  { timeout: EXPLORATION_TIMEOUT_MS },
+  () => {
+    // A request that crashes its target is retried through two VMs whose messages
+    // to each other arrive late. It crashes more targets until both VMs hold it
+    // back, and a request that shared a target with it must not be held back.
+    it("holds back only the culprit after two crashes in all orders", () => {
+      const found = explore(heldBackModel(BOUNDS, { HeldBack }));
+      expect(found.violation).toBeUndefined();
+    });
 
-  it.each([
-    [
-      "waits for a third death",
-      "const MIN_CRASHES = 2;",
-      "const MIN_CRASHES = 3;",
-      "who knows of two deaths holds the culprit back",
-    ],
-    [
-      "tells nobody of a death",
-      "now));\n    return messages;",
-      "now));\n    return [];",
-      "the culprit is free again nowhere once all is told",
-    ],
-    [
-      "holds back after one death",
-      "const MIN_CRASHES = 2;",
-      "const MIN_CRASHES = 1;",
-      "one shared target holds nobody else back",
-    ],
-    [
-      "forgets a completion",
-      "isCompleted: (old?.isCompleted ?? false) ||",
-      "isCompleted:",
-      "who knows of a completion never holds that request back",
-    ],
-  ])("are caught when the table %s", async (_, find, replace, property) => {
-    const path = corePath("held_back/held_back.ts");
-    const core = await loadMutant<HeldBackCore>(path, { find, replace });
-    const found = explore(heldBackModel(BOUNDS, core), [property]);
-    expect(found.violation?.property).toBe(property);
-  });
-});
+    it.each([
+      [
+        "waits for a third crash",
+        "const MIN_CRASHES = 2;",
+        "const MIN_CRASHES = 3;",
+        "a VM that knows of two crashes holds the culprit back",
+      ],
+      [
+        "does not notify peers of a crash",
+        "now));\n    return messages;",
+        "now));\n    return [];",
+        "every VM holds the culprit back once all messages have arrived",
+      ],
+      [
+        "holds back after one crash",
+        "const MIN_CRASHES = 2;",
+        "const MIN_CRASHES = 1;",
+        "no other request is held back for one shared target",
+      ],
+      [
+        "does not record a completion",
+        "isCompleted: (old?.isCompleted ?? false) ||",
+        "isCompleted:",
+        "a VM that knows of a completion never holds that request back",
+      ],
+    ])(
+      "reports a violation when the table %s",
+      async (_, find, replace, property) => {
+        const path = corePath("held_back/held_back.ts");
+        const core = await loadMutant<HeldBackCore>(path, { find, replace });
+        const found = explore(heldBackModel(BOUNDS, core), [property]);
+        expect(found.violation?.property).toBe(property);
+      },
+    );
+  },
+);
--- a/packages/model/src/interner.ts
+++ b/packages/model/src/interner.ts
@@ -1,41 +1,42 @@
 /**
- * Short exact names for plain JSON values.
+ * Short unique ids for plain JSON values.
  *
  * @module
  */
 
 /**
- * Gives equal values the same short name. States share most of their parts, and
- * each part is spelled out only once; without it, spelling whole states takes
+ * Assigns equal values the same short id. States share most of their parts, and
+ * each part is serialized only once; serializing complete states would take
  * most of an exploration's time.
  */
 export class Interner {
-  readonly #known = new WeakMap<object, string>();
-  readonly #names = new Map<string, string>();
+  readonly #idsByObject = new WeakMap<object, string>();
+  readonly #idsByEncoding = new Map<string, string>();
 
-  /** The name of a value; two values have one name exactly when they are equal. */
-  nameOf(value: unknown): string {
+  /** The id of a value; two values have the same id exactly if they are equal. */
+  idOf(value: unknown): string {
     if (typeof value !== "object" || value === null) {
       return JSON.stringify(value);
     }
-    const known = this.#known.get(value);
+    const known = this.#idsByObject.get(value);
     if (known !== undefined) {
       return known;
     }
-    const spelling = this.#spell(value);
-    const name = this.#names.get(spelling) ?? `#${this.#names.size}`;
-    this.#names.set(spelling, name);
-    this.#known.set(value, name);
-    return name;
+    const encoding = this.#encode(value);
+    const id = this.#idsByEncoding.get(encoding) ??
+      `#${this.#idsByEncoding.size}`;
+    this.#idsByEncoding.set(encoding, id);
+    this.#idsByObject.set(value, id);
+    return id;
   }
 
-  #spell(value: object): string {
+  #encode(value: object): string {
     if (Array.isArray(value)) {
-      return `[${value.map((item) => this.nameOf(item)).join()}]`;
+      return `[${value.map((item) => this.idOf(item)).join()}]`;
     }
     const fields = Object.entries(value)
       .filter(([, item]) => item !== undefined)
-      .map(([key, item]) => `${JSON.stringify(key)}:${this.nameOf(item)}`);
+      .map(([key, item]) => `${JSON.stringify(key)}:${this.idOf(item)}`);
     return `{${fields.join()}}`;
   }
 }
--- a/packages/model/src/lease_model.ts
+++ b/packages/model/src/lease_model.ts
@@ -1,8 +1,8 @@
 /**
- * The model of the lease, alone and where it meets the configuration: VMs
- * contend, and whoever believes that it holds the lease writes a plan for the
- * configuration it knows. Any call may hang for any time, which is what a
- * paused VM looks like to the table.
+ * Model of the lease, alone or together with the configuration. VMs contend for
+ * the lease, and each VM that holds it by its own clock writes plans for the
+ * configuration revision it knows. A call may be delayed for any time, which is
+ * how a paused VM appears to the table.
  *
  * @module
  */
@@ -17,38 +17,39 @@
   type Delivery,
   isTableEvent,
   newWorld,
-  orphan,
-  send,
+  orphanCall,
+  sendCall,
   type TableEvent,
   tableEvents,
   type TableWorld,
 } from "./table_world.ts";
 
-/** The cores under test: the production ones, or mutants of them. */
+/** The core under test: the production one, or a mutant of it. */
 export type LeaseCore = typeof leaseCore;
-/** The part of the configuration that a fenced write uses. */
+/** The part of the configuration core that a fenced write uses. */
 export type InForceCore = Pick<typeof inForce, "stillInForce">;
 
-/** What bounds the model. */
+/** Bounds of the model. */
 export interface LeaseBounds {
   readonly contenders: number;
-  /** Ticks of the clock; a lease lasts {@link DURATION} of them. */
+  /** Ticks of the clock; a lease lasts {@link DURATION_TICKS} of them. */
   readonly ticks: number;
   readonly losses: number;
-  /** Calls that read, acquire or renew, all together. */
+  /** Calls that read, acquire or renew, in total. */
   readonly calls: number;
-  /** Crashes with a restart as a new instance, all together. */
+  /** Crashes in total; each VM restarts as a new instance. */
   readonly crashes: number;
-  /** Planned stops, all together. */
+  /** Planned stops in total. */
   readonly stops: number;
-  /** Plans written, all together. */
+  /** Plans sent to the table in total. */
   readonly plans: number;
-  /** Changes of the configuration; 0 leaves the configuration out. */
+  /** Changes of the configuration; with 0 the model has no configuration. */
   readonly revisions: number;
 }
 
 const NAME = "planner";
-const DURATION = 2;
+/** Duration of the lease in ticks. */
+const DURATION_TICKS = 2;
 const PLAN_KEY = "plan/current";
 const IN_FORCE_KEY = "config/in-force";
 
@@ -59,11 +60,12 @@
 
 interface Contender {
   readonly core: leaseCore.LeaseState;
-  /** The lease step in flight and when it was sent. */
+  /** The lease step in flight; `startedAt` is when it was sent. */
   readonly step: leaseCore.LeaseStep | null;
   readonly startedAt: number;
+  /** Number of restarts. */
   readonly lives: number;
-  /** The revision that this VM knows. */
+  /** The configuration revision that this VM knows. */
   readonly known: number;
 }
 
@@ -72,17 +74,18 @@
   readonly now: number;
   readonly world: TableWorld;
   readonly contenders: readonly Contender[];
+  /** Events that may still occur. */
   readonly left: Pick<
     LeaseBounds,
     "calls" | "crashes" | "stops" | "plans" | "revisions"
   >;
-  /** Which instance each token was given to, by its committed claim. */
+  /** The instance that acquired the lease under each token. */
   readonly owners: Readonly<Record<number, string>>;
-  /** Whether a token was given to two instances. */
+  /** Whether two instances acquired the lease under the same token. */
   readonly isTokenReused: boolean;
-  /** Whether a plan was ever replaced by one of a lower token. */
+  /** Whether a plan was ever replaced by one written under a lower token. */
   readonly isPlanOutdated: boolean;
-  /** Whether a plan was ever replaced by one of a lower revision. */
+  /** Whether a plan was ever replaced by one for a lower revision. */
   readonly isPlanForOldRevision: boolean;
 }
 
@@ -103,12 +106,12 @@
   core: LeaseCore,
   configuration: InForceCore,
 ): Model<LeaseModelState, LeaseModelEvent> {
-  function newCore(index: number, life: number): leaseCore.LeaseState {
-    const instance = id<InstanceId>(`vm${index}-${life}`);
-    return core.newLease({ name: NAME, instance, durationMs: DURATION });
+  function newCore(index: number, restarts: number): leaseCore.LeaseState {
+    const instance = id<InstanceId>(`vm${index}-${restarts}`);
+    return core.newLease({ name: NAME, instance, durationMs: DURATION_TICKS });
   }
 
-  function put(
+  function updateContender(
     state: LeaseModelState,
     index: number,
     changes: Partial<Contender>,
@@ -125,9 +128,9 @@
     if (step === undefined) {
       return state;
     }
-    const world = send(state.world, String(index), step);
+    const world = sendCall(state.world, String(index), step);
     const sent = { step, startedAt: state.now };
-    return put({ ...state, world }, index, sent);
+    return updateContender({ ...state, world }, index, sent);
   }
 
   function sendPlan(state: LeaseModelState, index: number): LeaseModelState {
@@ -144,7 +147,7 @@
       conditions,
     });
     const call = { kind: "transact", transaction } as const;
-    // Nobody waits for its answer, so it may take effect at any time or never.
+    // No process awaits the response, so the call may take effect at any time or never.
     const orphans = [...state.world.orphans, call];
     const world = { ...state.world, orphans };
     const left = { ...state.left, plans: state.left.plans - 1 };
@@ -160,23 +163,30 @@
     const times = { startedAt, answeredAt: state.now };
     const event = leaseEvent(step!, times, outcome);
     const after = core.advanceLease(lease, event);
-    return put(state, index, { core: after, step: null, startedAt: 0 });
+    return updateContender(state, index, {
+      core: after,
+      step: null,
+      startedAt: 0,
+    });
   }
 
   function stop(state: LeaseModelState, index: number): LeaseModelState {
     const { core: lease } = state.contenders[index]!;
     const left = { ...state.left, stops: state.left.stops - 1 };
     const { state: stopped, release } = core.stopLease(lease);
-    const after = put({ ...state, left }, index, { core: stopped });
+    const after = updateContender({ ...state, left }, index, { core: stopped });
     return sendStep(after, index, release);
   }
 
   function crash(state: LeaseModelState, index: number): LeaseModelState {
     const lives = state.contenders[index]!.lives + 1;
-    const world = orphan(state.world, String(index));
+    const world = orphanCall(state.world, String(index));
     const left = { ...state.left, crashes: state.left.crashes - 1 };
-    const fresh = { core: newCore(index, lives), step: null, startedAt: 0 };
-    return put({ ...state, world, left }, index, { ...fresh, lives });
+    const restarted = { core: newCore(index, lives), step: null, startedAt: 0 };
+    return updateContender({ ...state, world, left }, index, {
+      ...restarted,
+      lives,
+    });
   }
 
   function next(
@@ -185,7 +195,7 @@
   ): LeaseModelState {
     if (isTableEvent(event)) {
       const { world, delivery } = applyTableEvent(state.world, event);
-      const after = remember({ ...state, world }, state);
+      const after = recordHistory({ ...state, world }, state);
       return delivery === undefined ? after : deliver(after, delivery);
     }
     switch (event.type) {
@@ -208,7 +218,7 @@
         return sendPlan(state, event.contender);
       case "learn": {
         const known = state.world.rows[IN_FORCE_KEY]!.version;
-        return put(state, event.contender, { known });
+        return updateContender(state, event.contender, { known });
       }
       case "stop":
         return stop(state, event.contender);
@@ -285,12 +295,13 @@
     events: eventsOf,
     next,
     properties: {
-      "a token is given to one instance only": (state) => !state.isTokenReused,
+      "two instances never acquire the lease under one token": (state) =>
+        !state.isTokenReused,
       "no plan replaces one written under a higher token": (state) =>
         !state.isPlanOutdated,
       "no plan replaces one for a higher revision": (state) =>
         !state.isPlanForOldRevision,
-      "with clocks that run alike two VMs never hold it at once": (state) =>
+      "two VMs with equal clocks never hold the lease at once": (state) =>
         state.contenders.filter((contender) =>
           core.heldToken(contender.core, state.now) !== undefined
         ).length <= 1,
@@ -328,12 +339,12 @@
   }
 }
 
-function planIn(state: LeaseModelState): Plan | null {
+function currentPlan(state: LeaseModelState): Plan | null {
   return rowAt(state.world.rows, PLAN_KEY).value as unknown as Plan | null;
 }
 
-/** Notes what the table's change shows, for the properties. */
-function remember(
+/** Records, for the properties, what a change of the table shows. */
+function recordHistory(
   after: LeaseModelState,
   before: LeaseModelState,
 ): LeaseModelState {
@@ -343,8 +354,8 @@
   const owners = holder === undefined || holder === null
     ? after.owners
     : { ...after.owners, [lease.version]: holder };
-  const old = planIn(before);
-  const plan = planIn(after);
+  const old = currentPlan(before);
+  const plan = currentPlan(after);
   return {
     ...after,
     owners,
--- a/packages/model/src/lease_model_test.ts
+++ b/packages/model/src/lease_model_test.ts
@@ -10,10 +10,10 @@
 } from "./lease_model.ts";
 import { loadMutant } from "./mutant.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
-const NOTHING: LeaseBounds = {
+const NO_FAULTS: LeaseBounds = {
   contenders: 2,
   calls: 4,
   ticks: 0,
@@ -23,17 +23,17 @@
   plans: 0,
   revisions: 0,
 };
-const LAPSE: LeaseBounds = { ...NOTHING, ticks: 3, losses: 1 };
-const HAND_OVER: LeaseBounds = { ...NOTHING, stops: 1, plans: 2 };
-const CRASH: LeaseBounds = { ...NOTHING, ticks: 3, crashes: 1 };
+const EXPIRY: LeaseBounds = { ...NO_FAULTS, ticks: 3, losses: 1 };
+const HAND_OVER: LeaseBounds = { ...NO_FAULTS, stops: 1, plans: 2 };
+const CRASH: LeaseBounds = { ...NO_FAULTS, ticks: 3, crashes: 1 };
 const PLANNING: LeaseBounds = { ...HAND_OVER, revisions: 1 };
 
-describe("lease", { timeout: EXPLORING_MS }, () => {
-  // A holder is paused past its lease, dies, hands over, or its answer is lost,
-  // while a write of it is still on its way. If that write took effect after
-  // the next holder's, traffic would follow a plan that was already replaced.
-  it.each([LAPSE, HAND_OVER, CRASH, PLANNING])(
-    "keeps a former holder from writing in all orders within %o",
+describe("model of the lease", { timeout: EXPLORATION_TIMEOUT_MS }, () => {
+  // A holder is paused past its lease, crashes, releases the lease or loses a
+  // response while a write of it is in flight. If that write took effect after
+  // one of the next holder, traffic would follow a plan that was replaced.
+  it.each([EXPIRY, HAND_OVER, CRASH, PLANNING])(
+    "prevents writes of a former holder in all orders within %o",
     (bounds) => {
       const found = explore(leaseModel(bounds, leaseCore, inForce));
       expect(found.violation).toBeUndefined();
@@ -42,48 +42,51 @@
 
   it.each([
     [
-      "skips the fence",
+      "omits the fencing condition",
       "conditions: [fence(name, token), ...conditions]",
       "conditions",
       HAND_OVER,
       "no plan replaces one written under a higher token",
     ],
     [
-      "deletes its row at the release",
+      "deletes its row on release",
       "writes: [{ key, value: row as unknown as Json }]",
       "writes: [{ key, value: undefined }]",
       HAND_OVER,
-      "a token is given to one instance only",
+      "two instances never acquire the lease under one token",
     ],
     [
-      "takes over before the lease lapsed",
+      "takes over before the lease has expired",
       "now - belief.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR",
       "now >= belief.since",
-      LAPSE,
-      "with clocks that run alike two VMs never hold it at once",
+      EXPIRY,
+      "two VMs with equal clocks never hold the lease at once",
     ],
     [
-      "counts its duration too long",
+      "uses the lease for longer than its duration",
       "startedAt + contender.durationMs",
       "startedAt + 2 * contender.durationMs",
-      LAPSE,
-      "with clocks that run alike two VMs never hold it at once",
+      EXPIRY,
+      "two VMs with equal clocks never hold the lease at once",
     ],
     [
-      "holds on while it releases",
+      "keeps using the lease while it releases it",
       'belief: { kind: "stopped" } as const',
       "belief",
       HAND_OVER,
-      "with clocks that run alike two VMs never hold it at once",
+      "two VMs with equal clocks never hold the lease at once",
     ],
-  ])("is caught when it %s", async (_, find, replace, bounds, property) => {
-    const path = corePath("lease/lease_core.ts");
-    const core = await loadMutant<LeaseCore>(path, { find, replace });
-    const model = leaseModel(bounds, core, inForce);
-    expect(explore(model, [property]).violation?.property).toBe(property);
-  });
+  ])(
+    "reports a violation when the core %s",
+    async (_, find, replace, bounds, property) => {
+      const path = corePath("lease/lease_core.ts");
+      const core = await loadMutant<LeaseCore>(path, { find, replace });
+      const model = leaseModel(bounds, core, inForce);
+      expect(explore(model, [property]).violation?.property).toBe(property);
+    },
+  );
 
-  it("is caught when a plan does not hang on the configuration", async () => {
+  it("reports a violation when a plan has no condition on the configuration", async () => {
     const path = corePath("configuration/in_force.ts");
     const core = await loadMutant<InForceCore>(path, {
       find: "return { key: IN_FORCE_KEY, version: inForce.revision };",
--- a/packages/model/src/main.ts
+++ b/packages/model/src/main.ts
@@ -1,5 +1,6 @@
 /**
- * Prints, for each model, the states explored and the bounds.
+ * Explores all models and prints, for each one, its bounds, the number of states
+ * and transitions, and the violation, if any. Exits with 1 on a violation.
  *
  * @module
  */
@@ -46,7 +47,7 @@
   expiries: 0,
 };
 
-/** Loans; moves to another owner; a restart amid loans. */
+/** Loans; moves of slots to another owner; a restart during loans. */
 const ESCROW: readonly EscrowBounds[] = [
   {
     vms: 2,
@@ -80,15 +81,21 @@
   },
 ];
 
-/** A VM that is cut off; one that restarts beside it; one that reads the table late. */
+/**
+ * A VM that is partitioned; in addition, another VM that restarts; a VM that
+ * reads the table late.
+ */
 const PLAN_TERMS: readonly PlanTermBounds[] = [
   { steps: 3, questions: 2, reads: 0, restarts: 0 },
   { steps: 3, questions: 1, reads: 0, restarts: 1 },
   { steps: 3, questions: 1, reads: 1, restarts: 0 },
 ];
 
-/** Each exploration, started one after the other, so that one's memory is freed before the next. */
-const RUNS: readonly (() => Exploration<unknown, unknown>)[] = [
+/**
+ * The explorations, run one after the other so that the memory of each is freed
+ * before the next.
+ */
+const EXPLORATIONS: readonly (() => Exploration<unknown, unknown>)[] = [
   () =>
     explore(configurationModel(
       { operators: 2, retries: 1, losses: 2, followers: 0, polls: 0 },
@@ -141,11 +148,11 @@
     explore(planTermModel(bounds), [ONE_USER, ONE_HOLDER])
   ),
   ...ESCROW.map((bounds) => () =>
-    explore(escrowModel(bounds, { rules: DEFAULT_RULES, remembers: false }))
+    explore(escrowModel(bounds, { rules: DEFAULT_RULES, keepsState: false }))
   ),
 ];
 
-const models = RUNS.map((run) => run());
+const models = EXPLORATIONS.map((runExploration) => runExploration());
 console.log(JSON.stringify({ models }, undefined, 2));
 if (models.some(({ violation }) => violation !== undefined)) {
   process.exitCode = 1;
--- a/packages/model/src/mod.ts
+++ b/packages/model/src/mod.ts
@@ -1,5 +1,6 @@
 /**
- * Model checking of the coordination cores.
+ * Model checking of the pure state machines ("cores") of the coordination
+ * package.
  *
  * @module
  */
--- a/packages/model/src/mutant.ts
+++ b/packages/model/src/mutant.ts
@@ -1,6 +1,6 @@
 /**
- * Loads a copy of a core with one deliberate fault, to show that a check can
- * fail. Production code carries no switch for it.
+ * Loads a copy of a core with one deliberate fault, to show that a check detects
+ * it. Production code needs no switch for the fault.
  *
  * @module
  */
@@ -9,16 +9,17 @@
 import { tmpdir } from "node:os";
 import { dirname, join, resolve } from "node:path";
 
-/** One replacement in the source of a core. */
+/** A text replacement in the source of a core. */
 export interface Mutation {
-  /** Text that occurs exactly once. */
+  /** Text that occurs exactly once in the source. */
   readonly find: string;
   readonly replace: string;
 }
 
 /**
- * The module at `path`, mutated. Throws unless the text occurs exactly once:
- * a mutation that no longer applies would leave a check untested.
+ * Loads the module at `path` with the mutation applied. Throws unless
+ * `mutation.find` occurs exactly once: a mutation that does not apply would
+ * leave a check untested.
  */
 export async function loadMutant<Core>(
   path: string,
@@ -28,7 +29,9 @@
   const parts = source.split(mutation.find);
   if (parts.length !== 2) {
     throw new Error(
-      `Cannot mutate ${path}: the text occurs ${parts.length - 1} times`,
+      `Cannot mutate ${path}: the text to replace occurs ${
+        parts.length - 1
+      } times instead of once`,
     );
   }
   const mutated = parts.join(mutation.replace);
@@ -38,7 +41,7 @@
   return await import(/* @vite-ignore */ copy) as Core;
 }
 
-/** The copy lies elsewhere, so its neighbours are named in full. */
+/** Makes relative imports absolute, since the copy is in another folder. */
 function withAbsoluteImports(source: string, folder: string): string {
   return source.replace(
     /from "(\.{1,2}\/[^"]+)"/g,
--- a/packages/model/src/plan_term_model.ts
+++ b/packages/model/src/plan_term_model.ts
@@ -1,12 +1,13 @@
 /**
- * Model of a slot that moves from one VM to another, while VMs are cut off,
- * paused or restarted and the table is read late or not at all: the terms of
- * plans and the planner's transition, together.
+ * Model of a slot that moves from one VM to another while VMs are partitioned,
+ * paused or restarted, and the table is read late or not at all. It covers the
+ * terms of plans together with the planner's transition.
  *
- * VM `x` holds the only slot of a target, VM `z` that of another one, and the
- * planner, VM `p`, takes the slot of `x` for itself. Messages may be lost,
- * repeated and late; a plan may reach a VM by a late push. Requests take no
- * time here: the planner's waiting time holds that of the longest one besides.
+ * VM `x` holds the only slot of a target, VM `z` the only slot of another
+ * target, and the planner, VM `p`, moves the slot of `x` to itself. Messages may
+ * be lost, repeated and delayed; a plan may reach a VM by a late push. Requests
+ * take no time in the model: in production the planner's waiting time also
+ * includes the duration of the longest request.
  *
  * @module
  */
@@ -27,7 +28,7 @@
 } from "@poplarthread/decisions";
 import type { Model } from "./explore.ts";
 
-/** The cores under check; each may be a mutated copy. */
+/** The cores under test; each may be a mutant. */
 export interface PlanTermCores {
   readonly term: Pick<
     typeof termCore,
@@ -37,20 +38,20 @@
   readonly transition: { readonly nextHoldings: typeof nextHoldings };
 }
 
-/** The cores that production runs. */
+/** The production cores. */
 export const PLAN_TERM_CORES: PlanTermCores = {
   term: termCore,
   silence: { watchSilence },
   transition: { nextHoldings },
 };
 
-/** What bounds the exploration. */
+/** Bounds of the model. */
 export interface PlanTermBounds {
   /** Steps of time, each a little longer than a term. */
   readonly steps: number;
-  /** Questions that `x` asks. */
+  /** Renewal requests that `x` sends. */
   readonly questions: number;
-  /** Reads of the table by `x`, after the one it starts with. */
+  /** Reads of the table by `x`, besides the one in flight at the start. */
   readonly reads: number;
   /** Restarts of `z`. */
   readonly restarts: number;
@@ -62,7 +63,7 @@
 interface PlanRecord {
   readonly sequence: number;
   readonly holders: readonly Sender[];
-  /** Rows of the slot of `x`. */
+  /** Holdings of the slot that `x` has at the start. */
   readonly rows: readonly Holding[];
 }
 
@@ -76,22 +77,24 @@
   readonly askedAt: number;
 }
 
-/** All processes, what is on its way, and what was written. */
+/** A state of the model: all processes, the messages in flight and the plans written. */
 export interface PlanTermWorld {
   /** Steps of time passed. */
   readonly time: number;
   readonly plans: readonly PlanRecord[];
   readonly vms: Readonly<Record<Name, TermState>>;
-  /** What the planner heard. */
+  /** The newest plan that each VM has confirmed to the planner. */
   readonly confirmed: Readonly<Record<Name, number>>;
   readonly silences: readonly Silence[];
+  /** Messages that may arrive, any number of times. */
   readonly mail: readonly Mail[];
+  /** The read of the table by `x` that is in flight. */
   readonly read: Read | undefined;
   readonly readsLeft: number;
   readonly restartsLeft: number;
 }
 
-/** A step of the world. */
+/** A step of the model. */
 export type PlanTermEvent =
   | { readonly type: "time passes" }
   | { readonly type: "plans" }
@@ -107,11 +110,11 @@
   | { readonly type: "has read" }
   | { readonly type: "restarts" };
 
-/** One step of time: a term has ended when it has passed. */
+/** Duration of one step of time, longer than a term. */
 const STEP_MS = 16_000;
 const TIMES = { termMs: TERM_MS, retryMs: STEP_MS };
 
-/** Makes the model; the properties are safety, `WAITED_OUT` excepted. */
+/** Builds the model. Its properties must hold, except for {@link WAITED_OUT}. */
 export function planTermModel(
   bounds: PlanTermBounds,
   cores: PlanTermCores = PLAN_TERM_CORES,
@@ -152,7 +155,8 @@
       { total: 1, step: { sequence, confirmed, stopped } },
     );
     if (JSON.stringify(rows) === JSON.stringify(previous.rows)) {
-      // Production writes every plan; one without a move differs in its number only.
+      // Unlike production, leaves out a plan that moves no slot: it would differ in
+      // its sequence number only.
       return { ...world, silences };
     }
     const holders = NAMES
@@ -171,7 +175,7 @@
     return advance(adopted, "p", { kind: "read", sequence, askedAt });
   }
 
-  function hear(world: PlanTermWorld, vm: Name, sequence: number) {
+  function adoptPlan(world: PlanTermWorld, vm: Name, sequence: number) {
     const { holders } = planOf(world, sequence)!;
     return advance(world, vm, { kind: "plan", sequence, holders });
   }
@@ -185,7 +189,7 @@
       : world;
   }
 
-  function uses(world: PlanTermWorld, name: Name): boolean {
+  function usesSlot(world: PlanTermWorld, name: Name): boolean {
     const term = world.vms[name];
     const rows = planOf(world, term.sequence)?.rows ?? [];
     const row = rows.find(({ vm }) => vm === vmOf(name));
@@ -212,12 +216,16 @@
       readsLeft: bounds.reads,
       restartsLeft: bounds.restarts,
     };
-    return hear(hear(hear(world, "p", 1), "x", 1), "z", 1);
+    return adoptPlan(
+      adoptPlan(adoptPlan(world, "p", 1), "x", 1),
+      "z",
+      1,
+    );
   }
 
   function events(world: PlanTermWorld): readonly PlanTermEvent[] {
     const mayAsk = world.vms.x.asked < bounds.questions;
-    const hearing = (["x", "z"] as const).flatMap((vm) =>
+    const planArrivals = (["x", "z"] as const).flatMap((vm) =>
       world.plans
         .filter(({ sequence }) => sequence > world.vms[vm].sequence)
         .map((
@@ -228,7 +236,7 @@
       ...(world.time < bounds.steps ? [{ type: "time passes" } as const] : []),
       { type: "plans" },
       ...(mayAsk ? [{ type: "asks" } as const] : []),
-      ...hearing,
+      ...planArrivals,
       ...world.mail.map((mail) => ({ type: "gets message", mail } as const)),
       ...(["x", "z"] as const).map((vm) => ({ type: "reports", vm } as const)),
       ...(world.readsLeft > 0 ? [{ type: "starts to read" } as const] : []),
@@ -246,7 +254,7 @@
       case "asks":
         return advance(world, "x", { kind: "tick" });
       case "hears of plan":
-        return hear(world, event.vm, event.sequence);
+        return adoptPlan(world, event.vm, event.sequence);
       case "gets message": {
         const { to, message } = event.mail;
         return advance(world, to, { kind: "message", message });
@@ -277,29 +285,32 @@
     events,
     next,
     properties: {
-      [ONE_USER]: (world) => !(uses(world, "x") && uses(world, "p")),
+      [ONE_USER]: (world) => !(usesSlot(world, "x") && usesSlot(world, "p")),
       [ONE_HOLDER]: (world) =>
         world.plans.every(({ rows }) =>
           rows.reduce((sum, { mayHold }) => sum + mayHold, 0) <= 1
         ),
-      [WAITED_OUT]: (world) => !(uses(world, "p") && world.confirmed.x < 2),
+      [WAITED_OUT]: (world) => !(usesSlot(world, "p") && world.confirmed.x < 2),
     },
   };
 }
 
-/** No slot is ever used by two VMs. */
-export const ONE_USER = "a slot has one user at most";
-/** No plan hands a slot out twice. */
-export const ONE_HOLDER = "a plan hands a slot out once";
-/** Fails as it should: the planner can wait a silent VM out. */
-export const WAITED_OUT = "a silent VM keeps its slot for good";
+/** No two VMs use a slot at the same time. */
+export const ONE_USER = "a slot is used by at most one VM";
+/** No plan assigns a slot twice. */
+export const ONE_HOLDER = "a plan assigns a slot at most once";
+/**
+ * Must be violated, which shows that the planner can wait until an unresponsive
+ * VM's term has ended.
+ */
+export const WAITED_OUT = "an unresponsive VM keeps its slot forever";
 
 function vmOf(name: Name): VmId {
   return name as string as VmId;
 }
 
-function senderOf(name: Name, life: number): Sender {
-  return { vm: vmOf(name), instance: `${name}${life}` as InstanceId };
+function senderOf(name: Name, restarts: number): Sender {
+  return { vm: vmOf(name), instance: `${name}${restarts}` as InstanceId };
 }
 
 function rowOf(name: Name): Holding {
@@ -310,13 +321,13 @@
   return world.plans.find((plan) => plan.sequence === sequence);
 }
 
-/** A set in one order: a message may arrive any number of times. */
+/** Adds messages as a sorted set: each may arrive any number of times. */
 function addMail(
   mail: readonly Mail[],
   sent: readonly Mail[],
 ): readonly Mail[] {
   const byText = new Map(
-    [...mail, ...sent].map((one) => [JSON.stringify(one), one]),
+    [...mail, ...sent].map((entry) => [JSON.stringify(entry), entry]),
   );
   return [...byText.keys()].sort().map((text) => byText.get(text)!);
 }
--- a/packages/model/src/plan_term_model_test.ts
+++ b/packages/model/src/plan_term_model_test.ts
@@ -11,27 +11,27 @@
   WAITED_OUT,
 } from "./plan_term_model.ts";
 
-/** No verdict hangs on time; a busy host only takes longer to explore. */
-const EXPLORING_MS = 300_000;
+/** Generous: no result depends on time, and an exploration takes longer on a busy host. */
+const EXPLORATION_TIMEOUT_MS = 300_000;
 
-const CUT_OFF: PlanTermBounds = {
+const PARTITION: PlanTermBounds = {
   steps: 3,
   questions: 2,
   reads: 0,
   restarts: 0,
 };
-const RESTART: PlanTermBounds = { ...CUT_OFF, questions: 1, restarts: 1 };
-const READ: PlanTermBounds = { ...CUT_OFF, questions: 1, reads: 1 };
+const RESTART: PlanTermBounds = { ...PARTITION, questions: 1, restarts: 1 };
+const READ: PlanTermBounds = { ...PARTITION, questions: 1, reads: 1 };
 
 const TERM = corePath("plan_term/term.ts");
 const SILENCE = decisionPath("silence.ts");
 const TRANSITION = decisionPath("plan_transition.ts");
 
-describe("terms of plans", { timeout: EXPLORING_MS }, () => {
-  // A VM is cut off while its slot is given to another. Were both to use it,
-  // the target would have one request too many and shed somebody's work.
-  it.each([CUT_OFF, RESTART, READ])(
-    "let no slot have two users, within %o",
+describe("model of plan terms", { timeout: EXPLORATION_TIMEOUT_MS }, () => {
+  // A VM is partitioned while its slot is assigned to another VM. If both used
+  // the slot, the target would get one request too many and shed load.
+  it.each([PARTITION, RESTART, READ])(
+    "lets at most one VM use a slot, within %o",
     (bounds) => {
       const found = explore(planTermModel(bounds), [ONE_USER, ONE_HOLDER]);
       expect(found.violation).toBeUndefined();
@@ -39,60 +39,63 @@
     },
   );
 
-  it("let the planner wait a silent VM out", () => {
-    const model = planTermModel({ ...CUT_OFF, questions: 0 });
+  it("lets the planner wait until an unresponsive VM's term has ended", () => {
+    const model = planTermModel({ ...PARTITION, questions: 0 });
     expect(explore(model, [WAITED_OUT]).violation).toBeDefined();
   });
 
   it.each([
     [
-      "a VM vouches for a plan that it has left",
+      "a VM renews terms for a plan that it no longer follows",
       RESTART,
       TERM,
       "if (sequence < state.sequence) {",
       "if (sequence < 0) {",
     ],
     [
-      "a VM that the plan does not name vouches",
+      "a VM that the plan does not name renews terms",
       RESTART,
       TERM,
       "if (!isHolder(state, self.instance) || ",
       "if (",
     ],
     [
-      "an answer counts for a later question",
-      CUT_OFF,
+      "a response is taken for one to a later request",
+      PARTITION,
       TERM,
       "message.question !== last?.question",
       "last === undefined",
     ],
     [
-      "the planner gives up on one of two silent VMs",
-      CUT_OFF,
+      "the planner ignores one of two unresponsive VMs",
+      PARTITION,
       SILENCE,
       "if (unheard) {",
       "if (unheard && input.now < 0) {",
     ],
     [
-      "the planner does not wait",
-      CUT_OFF,
+      "the planner does not wait for the end of the term",
+      PARTITION,
       SILENCE,
       "input.now >= since + STOPPED_AFTER_MS",
       "input.now >= since",
     ],
     [
-      "the planner raises before the lowering is complete",
-      CUT_OFF,
+      "the planner raises a holding before the lowering of another is complete",
+      PARTITION,
       TRANSITION,
       "return confirmed || step.stopped.has(old.vm)",
       "return confirmed || step.sequence > 0",
     ],
-  ])("is caught when %s", async (_, bounds, path, find, replace) => {
-    const core = await loadMutant<never>(path, { find, replace });
-    const cores = { ...PLAN_TERM_CORES, ...replaced(path, core) };
-    const found = explore(planTermModel(bounds, cores), [ONE_USER]);
-    expect(found.violation?.property).toBe(ONE_USER);
-  });
+  ])(
+    "reports a violation when %s",
+    async (_, bounds, path, find, replace) => {
+      const core = await loadMutant<never>(path, { find, replace });
+      const cores = { ...PLAN_TERM_CORES, ...replaced(path, core) };
+      const found = explore(planTermModel(bounds, cores), [ONE_USER]);
+      expect(found.violation?.property).toBe(ONE_USER);
+    },
+  );
 });
 
 function replaced(path: string, core: never) {
--- a/packages/model/src/table_model.ts
+++ b/packages/model/src/table_model.ts
@@ -1,6 +1,5 @@
 /**
- * The table inside a model: rows, calls in flight, and answers that are lost
- * before or after the write.
+ * The table inside a model: its rows, and the effect of a call on them.
  *
  * @module
  */
@@ -15,30 +14,30 @@
 /** The rows of the table, by key. */
 export type Rows = Readonly<Record<string, Row>>;
 
-/** What a process sent. */
+/** A call that a process sends to the table. */
 export type TableCall =
   | { readonly kind: "read"; readonly keys: readonly string[] }
   | { readonly kind: "transact"; readonly transaction: Transaction };
 
-/** What the table answered. */
-export type TableAnswer =
+/** The table's response to a call. */
+export type TableResponse =
   | { readonly kind: "rows"; readonly rows: readonly Row[] }
   | { readonly kind: "result"; readonly result: TransactionResult };
 
-/** A row, also where it is absent. */
+/** The row at `key`, with version {@link ABSENT} if there is none. */
 export function rowAt(rows: Rows, key: string): Row {
   return rows[key] ?? { key, version: ABSENT, value: null };
 }
 
-/** The rows after the call, and its answer. */
+/** Returns the rows after the call, and its response. */
 export function applyCall(
   rows: Rows,
   call: TableCall,
-): { readonly rows: Rows; readonly answer: TableAnswer } {
+): { readonly rows: Rows; readonly response: TableResponse } {
   switch (call.kind) {
     case "read": {
       const read = call.keys.map((key) => rowAt(rows, key));
-      return { rows, answer: { kind: "rows", rows: read } };
+      return { rows, response: { kind: "rows", rows: read } };
     }
     case "transact":
       return applyTransaction(rows, call.transaction);
@@ -48,13 +47,13 @@
 function applyTransaction(
   rows: Rows,
   transaction: Transaction,
-): { readonly rows: Rows; readonly answer: TableAnswer } {
-  const failed = transaction.conditions
+): { readonly rows: Rows; readonly response: TableResponse } {
+  const conflicting = transaction.conditions
     .filter(({ key, version }) => rowAt(rows, key).version !== version)
     .map(({ key }) => rowAt(rows, key));
-  if (failed.length > 0) {
-    const result = { kind: "conflict", rows: failed } as const;
-    return { rows, answer: { kind: "result", result } };
+  if (conflicting.length > 0) {
+    const result = { kind: "conflict", rows: conflicting } as const;
+    return { rows, response: { kind: "result", result } };
   }
   const after: Record<string, Row> = { ...rows };
   for (const { key, value } of transaction.writes) {
@@ -65,10 +64,13 @@
     }
   }
   const result = { kind: "committed" } as const;
-  return { rows: sorted(after), answer: { kind: "result", result } };
+  return { rows: sorted(after), response: { kind: "result", result } };
 }
 
-/** Equal tables must serialize equally, whatever the order of the writes. */
+/**
+ * Sorts the rows by key, so that equal tables serialize equally after any order
+ * of writes.
+ */
 function sorted(rows: Record<string, Row>): Rows {
   const keys = Object.keys(rows).sort();
   return Object.fromEntries(keys.map((key) => [key, rows[key]!]));
--- a/packages/model/src/table_world.ts
+++ b/packages/model/src/table_world.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of a model's processes to the table: each may take effect late, be
- * answered late, or lose its answer before or after it took effect.
+ * The calls of a model's processes to the table. Each may take effect late, get
+ * its response late, or lose its response before or after it took effect.
  *
  * @module
  */
@@ -9,28 +9,28 @@
 import {
   applyCall,
   type Rows,
-  type TableAnswer,
   type TableCall,
+  type TableResponse,
 } from "./table_model.ts";
 
-/** A call on its way; it took effect once `answer` is there. */
-interface Pending {
+/** A call in flight; it has taken effect once `answer`, its response, is set. */
+interface PendingCall {
   readonly call: TableCall;
-  readonly answer?: TableAnswer;
+  readonly answer?: TableResponse;
 }
 
-/** The table and what is on its way to it and back. */
+/** The table, and the calls and responses in flight. */
 export interface TableWorld {
   readonly rows: Rows;
-  /** One call for each process at most. */
-  readonly calls: Readonly<Record<string, Pending>>;
-  /** Calls that nobody waits for any more and that may still take effect. */
+  /** At most one call per process. */
+  readonly calls: Readonly<Record<string, PendingCall>>;
+  /** Calls whose response no process awaits, and that may still take effect. */
   readonly orphans: readonly TableCall[];
-  /** Calls that may still be lost or refused. */
+  /** Number of calls that may still be lost or refused. */
   readonly losses: number;
 }
 
-/** What the table and the network may do. */
+/** Events of the table and the network. */
 export type TableEvent =
   | { readonly type: "take-effect"; readonly process: string }
   | { readonly type: "answer"; readonly process: string }
@@ -38,12 +38,12 @@
   | { readonly type: "refuse"; readonly process: string }
   | { readonly type: "orphan-takes-effect"; readonly index: number };
 
-/** What reaches a process. */
+/** The outcome of a call, as delivered to its process. */
 export interface Delivery {
   readonly process: string;
   readonly call: TableCall;
   readonly outcome:
-    | TableAnswer
+    | TableResponse
     | { readonly kind: "failed"; readonly effect: TableEffect };
 }
 
@@ -52,7 +52,7 @@
   return { rows: {}, calls: {}, orphans: [], losses };
 }
 
-/** Every event that the table or the network may bring now. */
+/** All events of the table and the network that may occur now. */
 export function tableEvents(world: TableWorld): readonly TableEvent[] {
   const events: TableEvent[] = [];
   for (const [process, pending] of Object.entries(world.calls)) {
@@ -71,7 +71,7 @@
   return events;
 }
 
-/** Whether an event is one of the table's. */
+/** Whether the event is one of the table or the network. */
 export function isTableEvent(event: { type: string }): event is TableEvent {
   switch (event.type) {
     case "take-effect":
@@ -85,7 +85,7 @@
   }
 }
 
-/** The world after the event, and what reaches a process by it. */
+/** Returns the world after the event, and what it delivers to a process. */
 export function applyTableEvent(
   world: TableWorld,
   event: TableEvent,
@@ -93,21 +93,24 @@
   switch (event.type) {
     case "take-effect": {
       const { call } = world.calls[event.process]!;
-      const { rows, answer } = applyCall(world.rows, call);
-      const calls = { ...world.calls, [event.process]: { call, answer } };
+      const { rows, response } = applyCall(world.rows, call);
+      const calls = {
+        ...world.calls,
+        [event.process]: { call, answer: response },
+      };
       return { world: { ...world, rows, calls } };
     }
     case "answer": {
       const { call, answer } = world.calls[event.process]!;
       const delivery = { process: event.process, call, outcome: answer! };
-      return { world: without(world, event.process), delivery };
+      return { world: withoutCall(world, event.process), delivery };
     }
     case "lose":
-      return lose(world, event.process);
+      return loseResponse(world, event.process);
     case "refuse": {
       const { call } = world.calls[event.process]!;
       const outcome = { kind: "failed", effect: "none" } as const;
-      const after = without(world, event.process);
+      const after = withoutCall(world, event.process);
       return {
         world: { ...after, losses: world.losses - 1 },
         delivery: { process: event.process, call, outcome },
@@ -121,8 +124,8 @@
   }
 }
 
-/** A process sends a call. */
-export function send(
+/** Adds a call that the process sends. */
+export function sendCall(
   world: TableWorld,
   process: string,
   call: TableCall,
@@ -133,10 +136,13 @@
   return { ...world, calls: Object.fromEntries(sorted) };
 }
 
-/** A process died: its call may still take effect, and nobody hears the answer. */
-export function orphan(world: TableWorld, process: string): TableWorld {
+/**
+ * Detaches the call of a process that crashed: it may still take effect, but
+ * its response is not delivered.
+ */
+export function orphanCall(world: TableWorld, process: string): TableWorld {
   const pending = world.calls[process];
-  const after = without(world, process);
+  const after = withoutCall(world, process);
   const mayStillWrite = pending?.call.kind === "transact" &&
     pending.answer === undefined;
   return mayStillWrite
@@ -144,12 +150,12 @@
     : after;
 }
 
-function lose(
+function loseResponse(
   world: TableWorld,
   process: string,
 ): { readonly world: TableWorld; readonly delivery: Delivery } {
   const { call } = world.calls[process]!;
-  const after = orphan(world, process);
+  const after = orphanCall(world, process);
   const outcome = { kind: "failed", effect: "unknown" } as const;
   return {
     world: { ...after, losses: world.losses - 1 },
@@ -157,7 +163,7 @@
   };
 }
 
-function without(world: TableWorld, process: string): TableWorld {
+function withoutCall(world: TableWorld, process: string): TableWorld {
   const { [process]: _, ...calls } = world.calls;
   return { ...world, calls };
 }
