--- a/packages/bundling/mod.d.mts
+++ b/packages/bundling/mod.d.mts
@@ -1,34 +1,35 @@
 import type { Plugin } from "esbuild";
 
-/** The workspace's root. */
+/** Root folder of the workspace. */
 export const ROOT: string;
 
-/** What is bundled, and where to. */
+/** The program to bundle, and the file to write it to. */
 export interface BundleOptions {
-  /** Source file from the root. */
+  /** Path of the entry source file, relative to the root. */
   readonly entry: string;
   readonly outfile: string;
   readonly plugins?: readonly Plugin[];
-  /** Kind of module; `esm` if left out. */
+  /** Module format of the bundle; `esm` if left out. */
   readonly format?: "esm" | "cjs";
 }
 
-/** Bundles a program of the workspace from the sources of all packages. */
+/** Bundles a program of the workspace from the sources of its packages. */
 export function bundleProgram(options: BundleOptions): Promise<void>;
 
-/** A line of a source and what takes its place. */
+/** A line of a source file and its replacement. */
 export interface LineReplacement {
-  /** Source file from the root. */
+  /** Path of the source file, relative to the root. */
   readonly file: string;
-  /** Text that stands there exactly once. */
+  /** The line, or the part of it, to replace; must occur exactly once in the file. */
   readonly text: string;
+  /** The replacement of `text`. */
   readonly becomes: string;
 }
 
-/** A plugin of the bundler that takes other lines in place of some. */
+/** An esbuild plugin that replaces lines of source files. */
 export function replaceLines(replacements: readonly LineReplacement[]): Plugin;
 
-/** A source with one line replaced; throws where the line does not stand there once. */
+/** Returns the source with one line replaced; throws unless the line occurs exactly once. */
 export function replaceLine(
   source: string,
   replacement: LineReplacement,
--- a/packages/daemon/src/bounded_output.ts
+++ b/packages/daemon/src/bounded_output.ts
@@ -1,5 +1,5 @@
 /**
- * Output that never makes its writer wait.
+ * An output stream that never makes its writer wait: it drops lines instead.
  *
  * @module
  */
@@ -7,27 +7,27 @@
 import { Writable } from "node:stream";
 
 /**
- * Bytes that may wait for a reader. Whoever reads the log may stop reading while
- * the daemon serves; Node would keep all lines in memory, and the daemon would end
- * for want of it. At 400 bytes a line this holds some 2,500 lines.
+ * Most bytes to buffer for the reader of the log. When the reader stalls, Node would
+ * buffer every line, and the daemon would run out of memory while it serves. At
+ * 400 bytes a line this limit holds some 2,500 lines.
  */
-const MOST_WAITING_BYTES = 1_048_576;
+const MAX_BUFFERED_BYTES = 1_048_576;
 
-/** Passes lines on while their reader keeps up, and counts those it drops. */
+/** Forwards lines while their reader keeps up, and counts those that it drops. */
 export class BoundedOutput extends Writable {
   readonly #output: Writable;
-  #dropped = 0;
+  #droppedLines = 0;
 
   constructor(output: Writable) {
     super({ decodeStrings: false });
     this.#output = output;
-    // A reader that goes away must not end the daemon.
+    // Without a handler, a reader that closes its end would end the daemon.
     output.on("error", () => undefined);
   }
 
-  /** Lines that were dropped. */
-  get dropped(): number {
-    return this.#dropped;
+  /** Number of lines dropped so far. */
+  get droppedLines(): number {
+    return this.#droppedLines;
   }
 
   override _write(
@@ -35,8 +35,8 @@
     _encoding: string,
     done: () => void,
   ): void {
-    if (this.#output.writableLength > MOST_WAITING_BYTES) {
-      this.#dropped += 1;
+    if (this.#output.writableLength > MAX_BUFFERED_BYTES) {
+      this.#droppedLines += 1;
     } else {
       this.#output.write(line);
     }
--- a/packages/daemon/src/bounded_output_test.ts
+++ b/packages/daemon/src/bounded_output_test.ts
@@ -1,5 +1,5 @@
 /**
- * What happens to the log when nobody reads it.
+ * Tests of the log output with a reader that stalls and one that keeps up.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import { BoundedOutput } from "./bounded_output.ts";
 import { createLog } from "./log.ts";
 
-test("a reader that stops reading costs lines, not memory or time", () => {
-  // The program that collects the log hangs, and callers go on asking. Lines that
-  // were kept for it would fill the daemon's memory until it is killed.
-  const stuck = new Writable({ write: () => undefined });
-  const output = new BoundedOutput(stuck);
+test("lines are dropped when the reader stalls, and memory stays bounded", () => {
+  // The program that collects the log hangs while requests keep coming. If every
+  // line were buffered, the daemon's memory would grow until it is killed.
+  const stalled = new Writable({ write: () => undefined });
+  const output = new BoundedOutput(stalled);
   const log = createLog({
     level: "info",
     vm: "vm-1",
@@ -24,11 +24,11 @@
   for (let line = 0; line < 5_000; line++) {
     log.info("request ended", { reason });
   }
-  expect(output.dropped).toBeGreaterThan(1_000);
-  expect(stuck.writableLength).toBeLessThan(2_000_000);
+  expect(output.droppedLines).toBeGreaterThan(1_000);
+  expect(stalled.writableLength).toBeLessThan(2_000_000);
 });
 
-test("lines reach a reader that keeps up", () => {
+test("a reader that keeps up receives every line", () => {
   const lines: string[] = [];
   const reader = new Writable({
     write: (line, _encoding, done) => {
@@ -40,5 +40,5 @@
   output.write("one\n");
   output.write("two\n");
   expect(lines).toEqual(["one\n", "two\n"]);
-  expect(output.dropped).toBe(0);
+  expect(output.droppedLines).toBe(0);
 });
--- a/packages/daemon/src/errors.ts
+++ b/packages/daemon/src/errors.ts
@@ -1,40 +1,40 @@
 /**
- * The daemon's own errors.
+ * Error classes of the daemon.
  *
  * @module
  */
 
-/** A task failed more often than its supervisor allows. */
+/** A task failed more often than its supervisor's restart policy allows. */
 export class RestartLimitError extends Error {
   override readonly name = "RestartLimitError";
 }
 
-/** A peer said something that this version of the protocol does not allow. */
+/** A peer sent data that this version of the peer protocol does not allow. */
 export class PeerProtocolError extends Error {
   override readonly name = "PeerProtocolError";
 }
 
-/** An attempt was given up before any byte of it was sent. */
+/** An attempt was cancelled before any byte of it was sent. */
 export class NotSentError extends Error {
   override readonly name = "NotSentError";
 }
 
-/** The message of anything that was thrown. */
+/** The message of any thrown value. */
 export function messageOf(err: unknown): string {
   return err instanceof Error ? err.message : String(err);
 }
 
-/** A target could not be connected to within the time that it may take. */
+/** Connecting to a target timed out. */
 export class ConnectTimeoutError extends Error {
   override readonly name = "ConnectTimeoutError";
 }
 
-/** What came on a connection is no answer to the request on it. */
+/** The data received on a connection is not a valid response to the request sent on it. */
 export class WrongAnswerError extends Error {
-  override readonly name = "WrongAnswerError";
+  override readonly name = "InvalidResponseError";
 }
 
-/** A health probe was not answered within the time that it may take. */
+/** A health probe timed out. */
 export class ProbeTimeoutError extends Error {
   override readonly name = "ProbeTimeoutError";
 }
--- a/packages/daemon/src/http/connection_lines.ts
+++ b/packages/daemon/src/http/connection_lines.ts
@@ -1,11 +1,11 @@
 /**
- * Header lines that concern one connection only and are never passed on
+ * Hop-by-hop headers: they concern a single connection and are never forwarded
  * (RFC 9110, section 7.6.1).
  *
  * @module
  */
 
-/** Names that are always for one connection, in lower case. */
+/** Names of headers that are always hop-by-hop, in lower case. */
 export const HOP_BY_HOP: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
@@ -19,23 +19,28 @@
 ]);
 
 /**
- * Drops from `lines` (name and value in turn) those that the `connection`
- * lines name. `connection` is their values, each after a comma.
+ * Removes from `headers` (alternating names and values, names in lower case) those
+ * that the `connection` headers name. `connection` holds the values of these headers,
+ * each preceded by a comma.
  */
-export function dropNamed(lines: string[], connection: string): string[] {
+export function dropNamed(headers: string[], connection: string): string[] {
   if (
     connection === "" || connection === ",keep-alive" || connection === ",close"
   ) {
-    return lines;
+    return headers;
   }
-  const named = new Set(
+  const connectionOptions = new Set(
     connection.split(",").map((name) => name.trim().toLowerCase()),
   );
   const kept: string[] = [];
-  for (let at = 0; at < lines.length; at += 2) {
-    // A body without its length would be framed anew, and could be cut unseen.
-    if (lines[at] === "content-length" || !named.has(lines[at]!)) {
-      kept.push(lines[at]!, lines[at + 1]!);
+  for (let index = 0; index < headers.length; index += 2) {
+    // Without its content-length the body would be framed anew, and a recipient could
+    // not detect that it was truncated.
+    if (
+      headers[index] === "content-length" ||
+      !connectionOptions.has(headers[index]!)
+    ) {
+      kept.push(headers[index]!, headers[index + 1]!);
     }
   }
   return kept;
--- a/packages/daemon/src/http/deadline_wheel.ts
+++ b/packages/daemon/src/http/deadline_wheel.ts
@@ -1,30 +1,30 @@
 /**
- * One timer for the deadlines of all requests: a hashed wheel of short ticks.
- * A timer for each request would cost more than the request's own decisions.
+ * A hashed timing wheel: one timer for the deadlines of all requests. A timer per
+ * request would cost more than the routing decisions of the request.
  *
  * @module
  */
 
-/** Anything that runs out. At most one wheel holds it, once. */
+/** An object with a deadline. At most one wheel holds it, and only once. */
 export interface Expiring {
-  /** When it runs out, in milliseconds of the monotonic clock; later than now when added. */
+  /** The deadline, in milliseconds of the monotonic clock; must lie ahead when added. */
   readonly expiresAt: number;
-  /** Called once, after `expiresAt`. */
+  /** Called once, when `expiresAt` has passed. */
   expire(now: number): void;
 }
 
-/** Length of a tick: how late a deadline may be noticed, in milliseconds. */
+/** Length of a tick, which bounds how late a deadline may be noticed. */
 export const TICK_MS = 10;
-/** Slots of the wheel: 10 s of ticks, so that most deadlines lie within one turn. */
-const SLOTS = 1_024;
+/** 10 s of ticks, so that most deadlines lie within one rotation of the wheel. */
+const SLOT_COUNT = 1_024;
 
-/** Holds what expires; `advance` is called once a tick. */
+/** Holds entries until they expire; its owner calls `advance` once a tick. */
 export class DeadlineWheel {
   readonly #slots: Set<Expiring>[] = Array.from(
-    { length: SLOTS },
+    { length: SLOT_COUNT },
     () => new Set(),
   );
-  /** The last tick that was handled. */
+  /** The last tick that was processed. */
   #tick: number;
 
   constructor(now: number) {
@@ -39,30 +39,33 @@
     this.#slot(entry).delete(entry);
   }
 
-  /** Whether something may expire within `ms` after the last {@link advance}, at most one turn of the wheel. */
+  /**
+   * Whether an entry may expire within `ms` milliseconds of the last {@link advance};
+   * looks ahead one rotation of the wheel at most.
+   */
   dueWithin(ms: number): boolean {
-    const ticks = Math.min(SLOTS, Math.ceil(ms / TICK_MS));
+    const ticks = Math.min(SLOT_COUNT, Math.ceil(ms / TICK_MS));
     for (let tick = this.#tick + 1; tick <= this.#tick + ticks; tick += 1) {
-      if (this.#slots[tick % SLOTS]!.size > 0) {
+      if (this.#slots[tick % SLOT_COUNT]!.size > 0) {
         return true;
       }
     }
     return false;
   }
 
-  /** Expires everything that is due. */
+  /** Expires every entry whose deadline has passed. */
   advance(now: number): void {
-    const due = Math.floor(now / TICK_MS);
-    const from = Math.max(this.#tick + 1, due - SLOTS + 1);
-    for (let tick = from; tick <= due; tick += 1) {
-      this.#expire(this.#slots[tick % SLOTS]!, now);
+    const currentTick = Math.floor(now / TICK_MS);
+    const firstTick = Math.max(this.#tick + 1, currentTick - SLOT_COUNT + 1);
+    for (let tick = firstTick; tick <= currentTick; tick += 1) {
+      this.#expire(this.#slots[tick % SLOT_COUNT]!, now);
     }
-    this.#tick = due;
+    this.#tick = currentTick;
   }
 
   #expire(slot: Set<Expiring>, now: number): void {
     for (const entry of slot) {
-      // Later turns of the wheel share the slot.
+      // The slot also holds entries that expire in later rotations.
       if (entry.expiresAt <= now) {
         slot.delete(entry);
         entry.expire(now);
@@ -71,11 +74,11 @@
   }
 
   #slot(entry: Expiring): Set<Expiring> {
-    // Rounded up: the tick of the slot comes after the deadline, never before.
+    // Rounded up, so that the tick of the slot never comes before the deadline.
     const tick = Math.max(
       Math.ceil(entry.expiresAt / TICK_MS),
       0,
     );
-    return this.#slots[tick % SLOTS]!;
+    return this.#slots[tick % SLOT_COUNT]!;
   }
 }
--- a/packages/daemon/src/http/deadline_wheel_test.ts
+++ b/packages/daemon/src/http/deadline_wheel_test.ts
@@ -5,7 +5,7 @@
   return { expiresAt, expire: () => undefined };
 }
 
-test("a deadline is due within the time that is left to it", () => {
+test("an entry is due within the time left until its deadline", () => {
   const wheel = new DeadlineWheel(0);
   wheel.add(expiringAt(250));
   expect(wheel.dueWithin(100)).toBe(false);
@@ -13,12 +13,12 @@
   expect(wheel.dueWithin(100)).toBe(true);
 });
 
-test("nothing is due after a deadline has passed or was taken out", () => {
+test("nothing is due once all entries have expired or were deleted", () => {
   const wheel = new DeadlineWheel(0);
-  const taken = expiringAt(40);
-  wheel.add(taken);
+  const deleted = expiringAt(40);
+  wheel.add(deleted);
   wheel.add(expiringAt(50));
-  wheel.delete(taken);
+  wheel.delete(deleted);
   wheel.advance(50 + TICK_MS);
   expect(wheel.dueWithin(1_000)).toBe(false);
 });
--- a/packages/daemon/src/http/request_body.ts
+++ b/packages/daemon/src/http/request_body.ts
@@ -1,6 +1,6 @@
 /**
- * The body of a caller's request: kept whole while it is small, so that it can
- * be sent again, and streamed with backpressure beyond that.
+ * The body of a caller's request: buffered while it is small, so that it can be
+ * sent again, and streamed with backpressure if it is larger.
  *
  * @module
  */
@@ -10,42 +10,42 @@
 import { Readable } from "node:stream";
 
 /**
- * Largest body that is read whole before the request is steered. A slow sender
- * of a small body then never occupies a slot, and the body can be replayed;
- * 64 KiB times the default 2,000 connections stays at 128 MB.
+ * Largest body to buffer completely before the request is routed. That way a slow
+ * sender of a small body never occupies a slot, and the body can be replayed. With
+ * 64 KiB, the default 2,000 connections buffer at most some 128 MB.
  */
-export const WHOLE_BODY_BYTES = 65_536;
+export const MAX_BUFFERED_BODY_BYTES = 65_536;
 
-/** What the header says of the body. */
-export interface AnnouncedBody {
-  /** Bytes of the body; -1 where the header does not say. */
+/** The length and framing of a body, from the header of its request. */
+export interface BodyFraming {
+  /** Length of the body in bytes; -1 if the header does not give it. */
   readonly contentLength: number;
   readonly chunked: boolean;
 }
 
-/** Told once how reading went. */
+/** Notified once the body can be sent, or is found to be too large. */
 export interface BodyListener {
-  /** The body is whole, or its rest will be streamed. */
+  /** The body is buffered completely, or the rest of it will be streamed. */
   bodyReady(): void;
-  /** It is larger than `limitBytes`. */
+  /** The body is larger than `limitBytes`. */
   bodyTooLarge(): void;
 }
 
-/** Reads one body. */
+/** Reads the body of one request. */
 export class RequestBody {
   readonly #req: IncomingMessage;
   readonly #limitBytes: number;
   readonly #listener: BodyListener;
   #chunks: Buffer[] = [];
-  #received = 0;
-  #ready = false;
+  #receivedBytes = 0;
+  #readyNotified = false;
   #stream: Readable | undefined;
-  #whole: Buffer | null = null;
-  #flowing = false;
-  #dropped = false;
-  /** When the last bytes came, in milliseconds of the monotonic clock. */
+  #buffered: Buffer | null = null;
+  #sendStarted = false;
+  #destroyed = false;
+  /** Time of the last received bytes, in milliseconds of the monotonic clock. */
   lastByteAt: number;
-  /** Whether the caller has sent all of it. */
+  /** Whether the body has been received completely. */
   complete = false;
 
   constructor(
@@ -58,70 +58,78 @@
     this.lastByteAt = options.now;
   }
 
-  /** Whether `head` announces a body at all. */
-  static announcedBy(head: AnnouncedBody): boolean {
+  /** Whether a request with this header has a body. */
+  static announcedBy(head: BodyFraming): boolean {
     return head.chunked || head.contentLength > 0;
   }
 
-  /** Starts reading. The listener may be called before this returns. */
-  start(head: AnnouncedBody): void {
+  /** Starts to read the body. The listener may be called before this method returns. */
+  start(head: BodyFraming): void {
     if (head.contentLength > this.#limitBytes) {
       this.#listener.bodyTooLarge();
       return;
     }
     const req = this.#req;
-    req.on("data", (chunk: Buffer) => this.#take(chunk));
-    req.on("end", () => this.#end());
-    req.on("error", () => this.#stream?.destroy(new Error("Caller is gone")));
-    if (head.contentLength > WHOLE_BODY_BYTES) {
-      this.#becomeStream();
+    req.on("data", (chunk: Buffer) => this.#onChunk(chunk));
+    req.on("end", () => this.#onEnd());
+    req.on(
+      "error",
+      () =>
+        this.#stream?.destroy(
+          new Error("Caller disconnected while sending the body"),
+        ),
+    );
+    if (head.contentLength > MAX_BUFFERED_BODY_BYTES) {
+      this.#switchToStream();
     }
   }
 
-  /** Whether it can be sent again. */
+  /** Whether the body can be sent again. */
   get replayable(): boolean {
     return this.#stream === undefined;
   }
 
-  /** Whether an attempt may take it: a stream only until one attempt has sent of it. */
+  /** Whether an attempt may send the body; a stream only until one attempt has started to send it. */
   get available(): boolean {
     return this.#stream === undefined ||
-      (!this.#flowing && !this.#stream.destroyed);
+      (!this.#sendStarted && !this.#stream.destroyed);
   }
 
-  /** The body for one attempt. */
+  /** The body to send with an attempt: a stream, a buffer, or null if there is none. */
   get forAttempt(): Buffer | Readable | null {
-    return this.#stream ?? this.#whole;
+    return this.#stream ?? this.#buffered;
   }
 
-  /** An attempt begins to send it. */
+  /** Records that an attempt starts to send the body. */
   markFlowing(): void {
-    this.#flowing = true;
+    this.#sendStarted = true;
   }
 
-  /** The whole body, for digests; undefined where it is streamed. */
+  /** The complete body, for digests; undefined if it is streamed. */
   get whole(): Buffer | undefined {
     return this.#stream === undefined
-      ? this.#whole ?? Buffer.alloc(0)
+      ? this.#buffered ?? Buffer.alloc(0)
       : undefined;
   }
 
-  /** Breaks a stream off, so that no target takes a part for the whole. */
+  /** Aborts a stream, so that no target takes a truncated body for a complete one. */
   destroy(): void {
-    this.#dropped = true;
+    this.#destroyed = true;
     this.#stream?.destroy();
     this.#chunks = [];
   }
 
-  #take(chunk: Buffer): void {
+  #onChunk(chunk: Buffer): void {
     this.lastByteAt = performance.now();
-    if (this.#dropped) {
+    if (this.#destroyed) {
       return;
     }
-    this.#received += chunk.length;
-    if (this.#received > this.#limitBytes) {
+    this.#receivedBytes += chunk.length;
+    if (this.#receivedBytes > this.#limitBytes) {
       this.#req.pause();
-      this.#stream?.destroy(new Error("Body is too large"));
+      this.#stream?.destroy(
+        new Error("Request body is larger than the limit"),
+      );
       this.#listener.bodyTooLarge();
       return;
     }
@@ -132,36 +140,36 @@
       return;
     }
     this.#chunks.push(chunk);
-    if (this.#received > WHOLE_BODY_BYTES) {
-      this.#becomeStream();
+    if (this.#receivedBytes > MAX_BUFFERED_BODY_BYTES) {
+      this.#switchToStream();
     }
   }
 
-  #end(): void {
+  #onEnd(): void {
     this.complete = true;
-    if (this.#dropped) {
+    if (this.#destroyed) {
       return;
     }
     if (this.#stream !== undefined) {
       this.#stream.push(null);
       return;
     }
-    this.#whole = this.#chunks.length === 1
+    this.#buffered = this.#chunks.length === 1
       ? this.#chunks[0]!
       : Buffer.concat(this.#chunks);
     this.#chunks = [];
-    this.#becomeReady();
+    this.#notifyReady();
   }
 
-  #becomeStream(): void {
+  #switchToStream(): void {
     const req = this.#req;
     const stream = new Readable({
       read: () => {
         req.resume();
       },
     });
-    // Whoever streams it hears of the error too; without this, nobody taking
-    // the body would turn the caller's reset into an uncaught exception.
+    // The attempt that sends the stream handles its errors itself. While there is none,
+    // a reset by the caller would be an uncaught exception without this handler.
     stream.on("error", () => undefined);
     this.#stream = stream;
     for (const chunk of this.#chunks) {
@@ -169,12 +177,12 @@
     }
     this.#chunks = [];
     req.pause();
-    this.#becomeReady();
+    this.#notifyReady();
   }
 
-  #becomeReady(): void {
-    if (!this.#ready) {
-      this.#ready = true;
+  #notifyReady(): void {
+    if (!this.#readyNotified) {
+      this.#readyNotified = true;
       this.#listener.bodyReady();
     }
   }
--- a/packages/daemon/src/json_call.ts
+++ b/packages/daemon/src/json_call.ts
@@ -6,34 +6,34 @@
 
 import { type Agent, request } from "node:http";
 
-/** The other side did not answer in time, or not in a form that can be read. */
+/** The call timed out, or its response cannot be used. */
 export class JsonAnswerError extends Error {
-  override readonly name = "JsonAnswerError";
+  override readonly name = "JsonCallError";
 }
 
-/** A call. */
+/** A request and where to send it. */
 export interface JsonCall {
   readonly agent: Agent;
   readonly host: string;
   readonly port: number;
   readonly method: "GET" | "POST";
   readonly path: string;
-  /** JSON text. */
+  /** The request body, as JSON text; none if left out. */
   readonly body?: string;
-  /** Longest wait for the whole answer, in milliseconds. */
+  /** Longest wait for the complete response. */
   readonly timeoutMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** An answer. */
-export interface JsonAnswer {
+/** A response. */
+export interface JsonResponse {
   readonly status: number;
-  /** Undefined where the status is another than 200. */
+  /** The parsed JSON; undefined unless the status is 200. */
   readonly body: unknown;
 }
 
-/** Settles with the answer; rejects where there is none. */
-export function callJson(call: JsonCall): Promise<JsonAnswer> {
+/** Resolves with the response; rejects if there is none, or if a status of 200 comes without JSON. */
+export function callJson(call: JsonCall): Promise<JsonResponse> {
   return new Promise((resolve, reject) => {
     const { agent, host, port, method, path, body, timeoutMs, signal } = call;
     const req = request({
@@ -48,9 +48,12 @@
         "content-length": Buffer.byteLength(body),
       },
     });
-    // A connection on which an answer is late may never carry one again.
+    // Closes the connection as well: one with a late response may never carry another.
     const timer = setTimeout(
-      () => req.destroy(new JsonAnswerError("No answer in time")),
+      () =>
+        req.destroy(
+          new JsonAnswerError("Timed out waiting for the JSON response"),
+        ),
       timeoutMs,
     );
     const fail = (err: Error) => {
@@ -59,8 +62,8 @@
     };
     req.on("error", fail);
     req.on("response", (res) => {
-      const pieces: Buffer[] = [];
-      res.on("data", (piece: Buffer) => pieces.push(piece));
+      const chunks: Buffer[] = [];
+      res.on("data", (chunk: Buffer) => chunks.push(chunk));
       res.on("error", fail);
       res.on("end", () => {
         clearTimeout(timer);
@@ -70,10 +73,10 @@
           return;
         }
         try {
-          const text = Buffer.concat(pieces).toString("utf8");
+          const text = Buffer.concat(chunks).toString("utf8");
           resolve({ status, body: JSON.parse(text) });
         } catch {
-          reject(new JsonAnswerError("The answer is not JSON"));
+          reject(new JsonAnswerError("The response body is not JSON"));
         }
       });
     });
--- a/packages/daemon/src/listen.ts
+++ b/packages/daemon/src/listen.ts
@@ -1,5 +1,5 @@
 /**
- * Binds a listener.
+ * Binds a server to an address.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import type { ListenOptions, Server } from "node:net";
 
 /**
- * Settles when `server` listens at `address`; rejects where it cannot bind it.
- * Later errors go to `failed`: without a listener the first one would end the
- * process.
+ * Resolves when `server` listens on `address`; rejects if it cannot bind to it.
+ * Later errors go to `onError`: without an error handler, the first one would end
+ * the process.
  */
 export function listen(
   server: Server,
   address: ListenOptions,
-  failed: (err: Error) => void,
+  onError: (err: Error) => void,
 ): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
     server.listen(address, () => {
       server.off("error", reject);
-      server.on("error", failed);
+      server.on("error", onError);
       resolve();
     });
   });
--- a/packages/daemon/src/listen_test.ts
+++ b/packages/daemon/src/listen_test.ts
@@ -1,5 +1,5 @@
 /**
- * Binding listeners.
+ * Tests of binding a server and of its later errors.
  *
  * @module
  */
@@ -11,10 +11,10 @@
 
 const HOST = ownAddress(79);
 
-test("errors after the listener is up are reported, each of them", async () => {
-  // The process has run out of descriptors, and a connection cannot be accepted.
-  // If nobody listens for that error, the first one is swallowed by what waited for
-  // the listener and the second one ends the process, with all its requests.
+test("every error after the server is listening is reported", async () => {
+  // The process has run out of file descriptors and cannot accept connections.
+  // Without a lasting error handler, the handler that waits for the bind consumes
+  // the first such error, and the second ends the process with all its requests.
   const server = createServer();
   const errors: string[] = [];
   await listen(server, { host: HOST, port: 17_720 }, (err) => {
@@ -26,7 +26,7 @@
   expect(errors).toEqual(["first", "second"]);
 });
 
-test("an address that is taken rejects", async () => {
+test("listen rejects if the address is in use", async () => {
   const first = createServer();
   await listen(first, { host: HOST, port: 17_720 }, () => undefined);
   await expect(
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,5 +1,5 @@
 /**
- * Logs as JSON lines on standard error.
+ * The log: JSON lines on standard error.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import winston from "winston";
 import { BoundedOutput } from "./bounded_output.ts";
 
-/** What a line may carry. A closed list: nothing else can leak into the log. */
+/** The fields of a log line. The list is closed, so that nothing else can leak into the log. */
 export interface LogFields {
   readonly request?: string;
   readonly revision?: number;
@@ -24,60 +24,60 @@
   readonly zone?: string;
   readonly subject?: string;
   readonly service?: string;
-  /** What a request concerns, as its caller names it. */
+  /** The object that a request concerns, as its caller names it. */
   readonly object?: string;
-  /** Lines that were not written. */
+  /** Number of lines that were not written. */
   readonly lines?: number;
   readonly targets?: number;
-  /** For how long a target wants nothing from this VM, in milliseconds. */
+  /** Back-off that a target asked of this VM. */
   readonly restMs?: number;
-  /** Requests a second that a target takes from all VMs together. */
+  /** Limit of a target on the requests per second of all VMs together. */
   readonly perSecond?: number;
-  /** How a fact was learned. */
+  /** Where an update came from: a response of the target, or a peer. */
   readonly source?: string;
-  /** Time before the first attempt, in milliseconds. */
+  /** Time before the first attempt. */
   readonly waitedMs?: number;
-  /** Age of what the VM knew of the targets, in milliseconds. */
+  /** Time since the platform last confirmed the VM's list of targets. */
   readonly newsMs?: number;
-  /** Time of the last attempt, and how it ended. */
+  /** Duration of the last attempt, and how it ended. */
   readonly targetMs?: number;
   readonly targetEnd?: string;
   /** The client account that sent a request. */
   readonly account?: string;
-  /** First characters of the digest of a key. */
+  /** First characters of the digest of an account key. */
   readonly key?: string;
-  /** Age of what the VM knew of accounts, in milliseconds. */
+  /** Age of the VM's data on accounts and keys, since the read of the store began. */
   readonly accountsMs?: number;
-  /** When the caller was told to come back, in milliseconds. */
+  /** Delay before a retry that the response to the caller asked for. */
   readonly retryAfterMs?: number;
-  /** Requests that the target ran and queued when it answered. */
+  /** Requests that the target was running and had queued when it responded. */
   readonly running?: number;
   readonly waiting?: number;
-  /** Attempts that were written to a target. */
+  /** Number of attempts that were written to a target. */
   readonly attempts?: number;
-  /** Requests without their final answer. */
+  /** Number of requests without their final response. */
   readonly open?: number;
 }
 
-/** Writes lines; the event is a fixed word or two, everything else a field. */
+/** Writes log lines. The event is a fixed phrase; everything that varies is a field. */
 export interface Log {
   error(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
   debug(event: string, fields?: LogFields): void;
-  /** Whether debug lines are written; saves their cost where they aren't. */
+  /** Whether debug lines are written; callers can skip the work for them if not. */
   readonly debugs: boolean;
-  /** Lines that were dropped because their reader did not keep up. */
+  /** Number of lines dropped because their reader did not keep up. */
   readonly dropped: number;
 }
 
-/** The log of one daemon; each line names the VM and the instance. */
+/** Creates the log of one daemon; each line names the VM and the instance. */
 export function createLog(
   options: {
     level: string;
     vm: string;
     instance: string;
-    /** Where lines go; standard error if left out. */
+    /** Receives the lines; standard error if left out. */
     stream?: Writable;
   },
 ): Log {
@@ -101,7 +101,7 @@
     debug: (event, fields) => void logger.debug(event, fields),
     debugs: logger.isDebugEnabled(),
     get dropped() {
-      return output.dropped;
+      return output.droppedLines;
     },
   };
 }
--- a/packages/daemon/src/loopback.ts
+++ b/packages/daemon/src/loopback.ts
@@ -1,5 +1,5 @@
 /**
- * Loopback addresses that no other process uses.
+ * Loopback addresses and ports for tests, which no other process uses.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 import process from "node:process";
 
 /**
- * An address of this process's own. Listeners of tests must be told their ports
- * before they bind them; a port that was free a moment ago on the common address may
- * be taken by then, by a connection of any other test, and the test fails for that.
- * On an address of its own nothing else can take it.
+ * A loopback address that only this process uses, derived from its process id and
+ * ending in `host`. Servers in tests are given their ports before they bind them. On
+ * 127.0.0.1, a connection of another test may take a port that was free a moment
+ * earlier, and the test would fail; on this address no other process takes it.
  */
 export function ownAddress(host: number): string {
   const { pid } = process;
   return `127.${64 + (pid >> 8) % 128}.${pid % 256}.${host}`;
 }
 
-/** First of the ports that tests hand out. */
-const FIRST_PORT = 20_000;
-let handedOut = 0;
+/** The ports handed out start right above this one. */
+const BASE_PORT = 20_000;
+let portsHandedOut = 0;
 
-/** A port that was not handed out before in this process. */
+/** A port that this function has not returned before in this process. */
 export function nextPort(): number {
-  handedOut += 1;
-  return FIRST_PORT + handedOut;
+  portsHandedOut += 1;
+  return BASE_PORT + portsHandedOut;
 }
--- a/packages/daemon/src/paced_timer.ts
+++ b/packages/daemon/src/paced_timer.ts
@@ -1,27 +1,27 @@
 /**
- * Periodic work that is done often only while there is a reason to.
+ * A timer for periodic work that sets its own interval, so that it runs often only
+ * while there is a reason to.
  *
- * Answers fleets in which each VM has little to do. A timer that fires every 20 ms
- * wakes the process 50 times a second for nothing; on VMs with a quarter of a core
- * that is a third of what they spend without a request, and it is missing when
- * requests come.
+ * In a fleet whose VMs are mostly idle, a timer that fires every 20 ms wakes each
+ * process 50 times a second for nothing. On VMs with a quarter of a core that is a
+ * third of the CPU time of an idle process, which then lacks when requests come.
  *
  * @module
  */
 
-/** Calls its work, which says when it is due again. Times are milliseconds of the monotonic clock. */
+/** Calls its work, which returns the delay to its next run. Times are milliseconds of the monotonic clock. */
 export class PacedTimer {
   readonly #work: (now: number) => number;
   #timer: NodeJS.Timeout | undefined;
   #dueAt = Infinity;
   #isClosed = false;
 
-  /** `work` returns in how many milliseconds it is due again. */
+  /** `work` gets the current time and returns the delay to its next run, in milliseconds. */
   constructor(work: (now: number) => number) {
     this.#work = work;
   }
 
-  /** The work is due in `ms`, or earlier where it already is. */
+  /** Schedules the work in `ms` milliseconds, unless it is already due earlier. */
   dueIn(ms: number): void {
     const dueAt = performance.now() + ms;
     if (this.#isClosed || dueAt >= this.#dueAt) {
@@ -32,7 +32,7 @@
     this.#timer = setTimeout(() => this.#fire(), ms);
   }
 
-  /** The work is not done any more. */
+  /** Cancels the next run; later calls of {@link dueIn} do nothing. */
   close(): void {
     this.#isClosed = true;
     clearTimeout(this.#timer);
--- a/packages/daemon/src/paced_timer_test.ts
+++ b/packages/daemon/src/paced_timer_test.ts
@@ -8,24 +8,24 @@
   vi.useRealTimers();
 });
 
-test("work is done as seldom as it asks for", () => {
-  let done = 0;
+test("work runs at the interval that it returns", () => {
+  let runs = 0;
   const timer = new PacedTimer(() => {
-    done += 1;
+    runs += 1;
     return 100;
   });
   timer.dueIn(0);
   vi.advanceTimersByTime(1_000);
-  expect(done).toBe(11);
+  expect(runs).toBe(11);
   timer.close();
 });
 
-test("work that becomes urgent is done earlier, and once", () => {
-  // A request begins to wait right after the work was done. Were it looked at only
-  // at the end of the long pause, its caller would wait that much longer.
-  const doneAt: number[] = [];
+test("work that becomes urgent runs earlier, and only once", () => {
+  // A request starts to wait right after a run. If the work didn't look at it before
+  // the long interval is over, its caller would wait that much longer.
+  const ranAt: number[] = [];
   const timer = new PacedTimer((now) => {
-    doneAt.push(now);
+    ranAt.push(now);
     return 100;
   });
   const start = performance.now();
@@ -34,7 +34,7 @@
   timer.dueIn(20);
   timer.dueIn(50);
   vi.advanceTimersByTime(110);
-  expect(doneAt.map((at) => at - start)).toEqual([30]);
+  expect(ranAt.map((at) => at - start)).toEqual([30]);
   timer.close();
 });
 
--- a/packages/daemon/src/pause.ts
+++ b/packages/daemon/src/pause.ts
@@ -1,10 +1,10 @@
 /**
- * Waiting for some time.
+ * A timed wait that can be cut short.
  *
  * @module
  */
 
-/** Settles after `ms` milliseconds, or when `signal` aborts. */
+/** Resolves after `ms` milliseconds, or as soon as `signal` is aborted. */
 export function pause(ms: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal?.aborted) {
@@ -16,7 +16,7 @@
       signal?.removeEventListener("abort", done);
       resolve();
     };
-    // The global timer, and not the one of `node:timers/promises`, which tests cannot advance.
+    // The global timer: fake timers in tests cannot advance the one of `node:timers/promises`.
     const timer = setTimeout(done, ms);
     signal?.addEventListener("abort", done);
   });
--- a/packages/daemon/src/silent_log.ts
+++ b/packages/daemon/src/silent_log.ts
@@ -1,12 +1,12 @@
 /**
- * A log that nobody reads, for tests and emulations.
+ * A log without output, for tests and emulations.
  *
  * @module
  */
 
 import type { Log } from "./log.ts";
 
-/** Drops every line. */
+/** Discards every line. */
 export const SILENT_LOG: Log = {
   error: () => undefined,
   warn: () => undefined,
--- a/packages/daemon/src/supervisor.ts
+++ b/packages/daemon/src/supervisor.ts
@@ -1,7 +1,7 @@
 /**
- * The supervisor: starts its tasks in order, restarts one that fails with
- * backoff, and fails itself when restarts don't help. A supervisor is a task,
- * so supervisors form a tree.
+ * A supervisor starts its tasks in order, restarts a failed one with exponential
+ * back-off, and fails itself when restarts don't help. A supervisor is itself a
+ * task, so supervisors form a tree.
  *
  * @module
  */
@@ -10,31 +10,31 @@
 import type { TaskStatus } from "@poplarthread/operator-api";
 import { type Parent, type Supervised, Task, type TaskState } from "./task.ts";
 
-/** How a supervisor restarts its tasks. */
+/** When a supervisor restarts a failed task, and when it gives up. */
 export interface RestartPolicy {
-  /** Delay before the first restart, in milliseconds; doubles with each one. */
-  readonly firstDelayMs: number;
-  readonly longestDelayMs: number;
-  /** More restarts of one task than this within `windowMs` fail the supervisor. */
-  readonly limit: number;
+  /** Delay before the first restart; doubles with each further restart in the window. */
+  readonly initialDelayMs: number;
+  readonly maxDelayMs: number;
+  /** Most restarts of one task within `windowMs`; the next failure fails the supervisor. */
+  readonly maxRestarts: number;
   readonly windowMs: number;
 }
 
 /**
- * 100 ms lets a port be freed; 5 s is what operators accept as "back within
+ * 100 ms leave time for a port to be freed; operators accept 5 s as "back within
  * seconds"; five restarts within a minute mean that restarting does not help.
  */
-export const DEFAULT_RESTARTS: RestartPolicy = {
-  firstDelayMs: 100,
-  longestDelayMs: 5_000,
-  limit: 5,
+export const DEFAULT_RESTART_POLICY: RestartPolicy = {
+  initialDelayMs: 100,
+  maxDelayMs: 5_000,
+  maxRestarts: 5,
   windowMs: 60_000,
 };
 
-/** Told of each restart, for logs and metrics. */
+/** Notified of each failure and restart, for logs and metrics. */
 export interface SupervisionListener {
-  taskFailed(path: string, err: unknown): void;
-  taskRestarted(path: string): void;
+  taskFailed(task: string, err: unknown): void;
+  taskRestarted(task: string): void;
 }
 
 interface Child {
@@ -42,20 +42,20 @@
   state: TaskState;
   restarts: number;
   lastError: string | undefined;
-  /** Times of the restarts within the window, in milliseconds of the monotonic clock. */
-  recent: number[];
+  /** Times of the restarts within the policy's window, in milliseconds of the monotonic clock. */
+  recentRestarts: number[];
 }
 
-/** What a supervisor sends itself. */
+/** A message that a supervisor sends to itself. */
 type SupervisorMessage = { readonly kind: "restart"; readonly child: Child };
 
-/** Construction of a supervisor. */
+/** Options of a supervisor. */
 export interface SupervisorOptions {
   readonly policy?: RestartPolicy;
   readonly listener: SupervisionListener;
 }
 
-/** Restarts tasks one for one. */
+/** Restarts only the task that failed; the others keep running. */
 export class Supervisor extends Task<SupervisorMessage> implements Parent {
   readonly #children: Child[] = [];
   readonly #policy: RestartPolicy;
@@ -63,22 +63,22 @@
 
   constructor(name: string, options: SupervisorOptions) {
     super(name);
-    this.#policy = options.policy ?? DEFAULT_RESTARTS;
+    this.#policy = options.policy ?? DEFAULT_RESTART_POLICY;
     this.#listener = options.listener;
   }
 
-  /** Adds a task; it starts with the supervisor, after those added before. */
+  /** Adds a task; it starts with the supervisor, after the tasks added before it. */
   add(task: Supervised): void {
     this.#children.push({
       task,
       state: "stopped",
       restarts: 0,
       lastError: undefined,
-      recent: [],
+      recentRestarts: [],
     });
   }
 
-  /** The tasks below, with their paths in the tree. */
+  /** The states of all tasks below this one, with their paths in the tree. */
   statuses(prefix = this.name): readonly TaskStatus[] {
     return this.#children.flatMap((child): TaskStatus[] => {
       const path = `${prefix}/${child.task.name}`;
@@ -97,14 +97,16 @@
   }
 
   failed(task: Task, err: unknown): void {
-    const child = this.#children.find((one) => (one.task as unknown) === task)!;
-    this.#note(child, err);
-    this.spawn(this.#restartLater(child));
+    const child = this.#children.find((child) =>
+      (child.task as unknown) === task
+    )!;
+    this.#recordFailure(child, err);
+    this.spawn(this.#scheduleRestart(child));
   }
 
   protected override async open(): Promise<void> {
     for (const child of this.#children) {
-      child.recent = [];
+      child.recentRestarts = [];
       await child.task.start(this);
       child.state = "running";
     }
@@ -120,7 +122,7 @@
     }
   }
 
-  /** Stops the tasks, last started first, since later ones use earlier ones. */
+  /** Stops the tasks in reverse order of their start, since later ones use earlier ones. */
   protected override async close(): Promise<void> {
     for (const child of this.#children.toReversed()) {
       await child.task.stop();
@@ -128,29 +130,29 @@
     }
   }
 
-  #note(child: Child, err: unknown): void {
+  #recordFailure(child: Child, err: unknown): void {
     child.lastError = messageOf(err);
     this.#listener.taskFailed(child.task.name, err);
   }
 
-  async #restartLater(child: Child): Promise<void> {
+  async #scheduleRestart(child: Child): Promise<void> {
     child.state = "waiting";
     await child.task.stop();
     const now = performance.now();
-    child.recent = child.recent.filter((at) =>
+    child.recentRestarts = child.recentRestarts.filter((at) =>
       at > now - this.#policy.windowMs
     );
-    if (child.recent.length >= this.#policy.limit) {
+    if (child.recentRestarts.length >= this.#policy.maxRestarts) {
       child.state = "failed";
       throw new RestartLimitError(
         `Cannot keep ${child.task.name} running: ${child.lastError}`,
       );
     }
     const delayMs = Math.min(
-      this.#policy.firstDelayMs * 2 ** child.recent.length,
-      this.#policy.longestDelayMs,
+      this.#policy.initialDelayMs * 2 ** child.recentRestarts.length,
+      this.#policy.maxDelayMs,
     );
-    child.recent.push(now);
+    child.recentRestarts.push(now);
     this.after(delayMs, { kind: "restart", child });
   }
 
@@ -161,8 +163,8 @@
       await child.task.start(this);
       child.state = "running";
     } catch (err) {
-      this.#note(child, err);
-      await this.#restartLater(child);
+      this.#recordFailure(child, err);
+      await this.#scheduleRestart(child);
     }
   }
 }
--- a/packages/daemon/src/supervisor_test.ts
+++ b/packages/daemon/src/supervisor_test.ts
@@ -2,53 +2,53 @@
 import { type RestartPolicy, Supervisor } from "./supervisor.ts";
 import { type Supervised, Task } from "./task.ts";
 
-type PhoneMessage = { readonly kind: "ring" } | { readonly kind: "break" };
+type WorkerMessage = { readonly kind: "work" } | { readonly kind: "crash" };
 
-class Phone extends Task<PhoneMessage> {
+class Worker extends Task<WorkerMessage> {
   starts = 0;
-  rings = 0;
+  handled = 0;
   openFails = false;
 
   protected override open(): void {
     this.starts += 1;
     if (this.openFails) {
-      throw new Error("no line");
+      throw new Error("port in use");
     }
   }
 
-  protected override receive(message: PhoneMessage): void {
-    if (message.kind === "break") {
-      throw new Error("broken");
+  protected override receive(message: WorkerMessage): void {
+    if (message.kind === "crash") {
+      throw new Error("crashed");
     }
-    this.rings += 1;
+    this.handled += 1;
   }
 
   protected override close(): void {}
 }
 
 const policy: RestartPolicy = {
-  firstDelayMs: 100,
-  longestDelayMs: 300,
-  limit: 3,
+  initialDelayMs: 100,
+  maxDelayMs: 300,
+  maxRestarts: 3,
   windowMs: 10_000,
 };
 
 function setUp() {
   const log: string[] = [];
   const listener = {
-    taskFailed: (path: string, err: unknown) => log.push(`${path}: ${err}`),
-    taskRestarted: (path: string) => log.push(`${path}: again`),
+    taskFailed: (task: string, err: unknown) => log.push(`${task}: ${err}`),
+    taskRestarted: (task: string) => log.push(`${task}: restarted`),
   };
   const supervisor = new Supervisor("root", { policy, listener });
-  const phone = new Phone("phone");
-  const other = new Phone("other");
-  supervisor.add(phone);
+  const worker = new Worker("worker");
+  const other = new Worker("other");
+  supervisor.add(worker);
   supervisor.add(other);
   const failures: unknown[] = [];
   const parent = {
     failed: (_: Supervised, err: unknown) => failures.push(err),
   };
-  return { supervisor, phone, other, failures, parent, log };
+  return { supervisor, worker, other, failures, parent, log };
 }
 
 beforeEach(() => {
@@ -58,31 +58,31 @@
   vi.useRealTimers();
 });
 
-test("a task that fails comes back after a growing delay, alone", async () => {
-  // A handler throws on a message it did not expect. Without supervision the
-  // whole daemon would die, or live on with a dead part that nobody sees.
-  const { supervisor, phone, other, parent, log } = setUp();
+test("only the failed task is restarted, after a delay that grows", async () => {
+  // A handler throws on an unexpected message. Without supervision the daemon would
+  // crash, or continue with a failed component that nobody notices.
+  const { supervisor, worker, other, parent, log } = setUp();
   await supervisor.start(parent);
-  phone.send({ kind: "break" });
-  phone.send({ kind: "ring" });
+  worker.send({ kind: "crash" });
+  worker.send({ kind: "work" });
   await vi.advanceTimersByTimeAsync(99);
-  expect(phone.starts).toBe(1);
+  expect(worker.starts).toBe(1);
   await vi.advanceTimersByTimeAsync(1);
-  expect(phone.starts).toBe(2);
-  phone.send({ kind: "break" });
+  expect(worker.starts).toBe(2);
+  worker.send({ kind: "crash" });
   await vi.advanceTimersByTimeAsync(199);
-  expect(phone.starts).toBe(2);
+  expect(worker.starts).toBe(2);
   await vi.advanceTimersByTimeAsync(1);
-  phone.send({ kind: "ring" });
-  expect(phone).toMatchObject({ starts: 3, rings: 1 });
+  worker.send({ kind: "work" });
+  expect(worker).toMatchObject({ starts: 3, handled: 1 });
   expect(other.starts).toBe(1);
   expect(supervisor.statuses()).toMatchInlineSnapshot(`
     [
       {
-        "lastError": "broken",
+        "lastError": "crashed",
         "restarts": 2,
         "state": "running",
-        "task": "root/phone",
+        "task": "root/worker",
       },
       {
         "restarts": 0,
@@ -92,21 +92,23 @@
     ]
   `);
   expect(log).toEqual([
-    "phone: Error: broken",
-    "phone: again",
-    "phone: Error: broken",
-    "phone: again",
+    "worker: Error: crashed",
+    "worker: restarted",
+    "worker: Error: crashed",
+    "worker: restarted",
   ]);
 });
 
-test("a task that never comes back fails its supervisor", async () => {
-  // A port is taken by something else for good. Restarting for ever would hide
-  // it; the failure has to climb until somebody notices.
-  const { supervisor, phone, failures, parent } = setUp();
+test("a supervisor fails when restarting its task does not help", async () => {
+  // Another program holds the port permanently. Endless restarts would hide that;
+  // the failure has to propagate up the tree until an operator notices.
+  const { supervisor, worker, failures, parent } = setUp();
   await supervisor.start(parent);
-  phone.openFails = true;
-  phone.send({ kind: "break" });
+  worker.openFails = true;
+  worker.send({ kind: "crash" });
   await vi.advanceTimersByTimeAsync(100 + 200 + 300);
   expect(failures).toHaveLength(1);
-  expect(String(failures[0])).toContain("Cannot keep phone running: no line");
+  expect(String(failures[0])).toContain(
+    "Cannot keep worker running: port in use",
+  );
 });
--- a/packages/daemon/src/task.ts
+++ b/packages/daemon/src/task.ts
@@ -1,45 +1,45 @@
 /**
- * A task owns its sockets, timers and state, and is talked to by typed
- * messages only. It is started, and started again, by a supervisor.
+ * A task owns its sockets, timers and state, and other code reaches it only by
+ * typed messages. A supervisor starts and restarts it.
  *
  * @module
  */
 
-/** A task as its supervisor sees it, whatever messages it takes. */
+/** A task as its supervisor sees it, whatever messages it handles. */
 export interface Supervised {
   readonly name: string;
-  /** Settles when the task serves. */
+  /** Resolves when the task is ready for messages and requests. */
   start(parent: Parent): Promise<void>;
-  /** Ends the task and everything it owns. */
+  /** Stops the task and releases everything it owns. */
   stop(): Promise<void>;
 }
 
-/** What a task tells its supervisor. */
+/** The supervisor of a task, as the task sees it. */
 export interface Parent {
-  /** The task cannot go on; called at most once for each start. */
+  /** The task cannot continue; called at most once per start. */
   failed(task: Supervised, err: unknown): void;
 }
 
-/** Every message is one of a union told apart by `kind`. */
+/** Base of all messages; a task handles a union discriminated by `kind`. */
 export interface Message {
   readonly kind: string;
 }
 
-/** The life of a task, as the supervisor sees it. */
+/** The state of a task, as its supervisor sees it; `waiting` until a delayed restart. */
 export type TaskState = "running" | "waiting" | "failed" | "stopped";
 
 /**
- * A supervised task. Messages are handled one after another, in the order they
- * were sent; a message sent while another is handled waits for its end. What
- * `receive` throws fails the task, never the sender.
+ * A supervised task. It handles messages one at a time, in the order they were
+ * sent; a message sent while another is being handled is queued. An error thrown by
+ * `receive` fails the task, never the sender.
  */
 export abstract class Task<M extends Message = Message> implements Supervised {
   readonly name: string;
   #parent: Parent | undefined;
   #running = false;
-  #draining = false;
-  /** Grows with each start, so that work of an earlier life is told apart. */
-  #life = 0;
+  #handling = false;
+  /** Grows with each start and stop; identifies asynchronous work of an earlier run. */
+  #runNumber = 0;
   readonly #queue: M[] = [];
   readonly #timers = new Set<NodeJS.Timeout>();
 
@@ -47,16 +47,16 @@
     this.name = name;
   }
 
-  /** Whether messages reach the task now. */
+  /** Whether the task accepts messages. */
   get running(): boolean {
     return this.#running;
   }
 
-  /** Starts the task under `parent`; settles when it serves. For supervisors. */
+  /** Starts the task under `parent`; resolves when it is ready. Only for supervisors. */
   async start(parent: Parent): Promise<void> {
     this.#parent = parent;
     this.#running = true;
-    this.#life += 1;
+    this.#runNumber += 1;
     try {
       await this.open();
     } catch (err) {
@@ -65,10 +65,10 @@
     }
   }
 
-  /** Ends the task and everything it owns. For supervisors. */
+  /** Stops the task and releases everything it owns. Only for supervisors. */
   async stop(): Promise<void> {
     this.#running = false;
-    this.#life += 1;
+    this.#runNumber += 1;
     this.#queue.length = 0;
     for (const timer of this.#timers) {
       clearTimeout(timer);
@@ -78,19 +78,19 @@
   }
 
   /**
-   * Gives the task a message. While the task is down the message is dropped:
-   * protocols between tasks repeat what must arrive, and a queue for a task
-   * that does not come back would grow without bound.
+   * Sends the task a message. Messages to a task that isn't running are dropped:
+   * protocols between tasks repeat what must arrive, and the queue of a task that
+   * is never restarted would grow without bound.
    */
   send(message: M): void {
     if (!this.#running) {
       return;
     }
     this.#queue.push(message);
-    if (this.#draining) {
+    if (this.#handling) {
       return;
     }
-    this.#draining = true;
+    this.#handling = true;
     try {
       for (let next = this.#queue.shift(); next; next = this.#queue.shift()) {
         this.receive(next);
@@ -98,26 +98,26 @@
     } catch (err) {
       this.fail(err);
     } finally {
-      this.#draining = false;
+      this.#handling = false;
     }
   }
 
-  /** Opens what the task owns. */
+  /** Acquires the resources of the task. */
   protected abstract open(): Promise<void> | void;
 
   /** Handles one message. */
   protected abstract receive(message: M): void;
 
-  /** Closes what the task owns; also called after a failed `open`. */
+  /** Releases the resources of the task; also called after a failed `open`. */
   protected abstract close(): Promise<void> | void;
 
-  /** Sends `message` to this task every `periodMs`, until it stops. */
+  /** Sends `message` to this task every `periodMs`, until the task stops. */
   protected every(periodMs: number, message: M): void {
     const timer = setInterval(() => this.send(message), periodMs);
     this.#timers.add(timer);
   }
 
-  /** Sends `message` to this task once, after `delayMs`, unless it stops before. */
+  /** Sends `message` to this task once, after `delayMs`, unless the task stops first. */
   protected after(delayMs: number, message: M): void {
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
@@ -127,19 +127,20 @@
   }
 
   /**
-   * Runs asynchronous work of this life. Its rejection fails the task, unless
-   * the task has been stopped since: a new life must not die of an old error.
+   * Tracks asynchronous work of the current run. If it rejects, the task fails,
+   * unless the task has been stopped since: an error of an earlier run must not fail
+   * a later one.
    */
   protected spawn(work: Promise<unknown>): void {
-    const life = this.#life;
+    const runNumber = this.#runNumber;
     work.catch((err) => {
-      if (life === this.#life) {
+      if (runNumber === this.#runNumber) {
         this.fail(err);
       }
     });
   }
 
-  /** Reports that the task cannot go on. */
+  /** Stops handling messages and reports the failure to the supervisor. */
   protected fail(err: unknown): void {
     if (!this.#running) {
       return;
