--- a/packages/bench/src/fleet/ablations.ts
+++ b/packages/bench/src/fleet/ablations.ts
@@ -20,12 +20,12 @@
 /** Name of each mechanism, as on the command line, with the line replacement that disables it. */
 export const ABLATIONS: Readonly<Record<string, LineReplacement>> = {
   "agreed-order": {
-    file: `${PLACEMENT}/agreed_order.ts`,
+    file: `${PLACEMENT}/rendezvous_order.ts`,
     text: "pairWeight(object, target.hash)",
     becomes: "pairWeight(object ^ hashText(from.zone), target.hash)",
   },
   "region-first": {
-    file: `${PLACEMENT}/agreed_order.ts`,
+    file: `${PLACEMENT}/rendezvous_order.ts`,
     text: "(isHomeHere ? 1 : -1)",
     becomes: "0",
   },
@@ -36,17 +36,17 @@
   },
   "warm-beliefs": {
     file: `${PLACEMENT}/warm_objects.ts`,
-    text: "return known !== undefined && now - known.usedAt < KEPT_MS;",
+    text: "return known !== undefined && now - known.usedAt < WARM_TTL_MS;",
     becomes: "return false;",
   },
   "warm-news": {
     file: `${PLACEMENT}/steering.ts`,
-    text: "const id = this.#ids.get(target);",
+    text: "const id = this.#idsByHash.get(target);",
     becomes: "const id = undefined;",
   },
   "price-by-kind": {
     file: `${PLACEMENT}/kind_times.ts`,
-    text: "if (times === undefined || !times.cold.isKnown) {",
+    text: "if (times === undefined || !times.unwarmed.isKnown) {",
     becomes: "if (true) {",
   },
   "unwarmed-price": {
@@ -61,8 +61,8 @@
   },
   "away-price": {
     file: `${PLACEMENT}/choose.ts`,
-    text: "awayMs: 15,",
-    becomes: "awayMs: 0,",
+    text: "warmStepMs: 15,",
+    becomes: "warmStepMs: 0,",
   },
   "failure-share": {
     file: `${PLACEMENT}/choose.ts`,
@@ -76,27 +76,28 @@
   },
   "waiting-room": {
     file: `${PLACEMENT}/steering.ts`,
-    text: "return Math.round(load.inFlight(now)) < most;",
+    text: "return Math.round(load.inFlight(now)) < maxInFlight;",
     becomes: "return true;",
   },
   "whole-requests": {
     file: `${PLACEMENT}/steering.ts`,
-    text: "return Math.round(load.inFlight(now)) < most;",
-    becomes: "return load.inFlight(now) + 1 <= most;",
+    text: "return Math.round(load.inFlight(now)) < maxInFlight;",
+    becomes: "return load.inFlight(now) + 1 <= maxInFlight;",
   },
   "early-refusal": {
     file: `${PLACEMENT}/steering.ts`,
-    text: "return waitsUntil > request.arrivedAt + mostWaitMs",
+    text: "return waitsUntil > request.arrivedAt + maxWaitMs",
     becomes: "return false",
   },
   "urgent-first": {
-    file: `${PLACEMENT}/waiting_room.ts`,
-    text: "a.one.priority - b.one.priority ||",
+    file: `${PLACEMENT}/wait_queue.ts`,
+    text: "a.request.priority - b.request.priority ||",
     becomes: "",
   },
   "late-last": {
-    file: `${PLACEMENT}/waiting_room.ts`,
-    text: "Number(a.one.aimAt < now) - Number(b.one.aimAt < now)",
+    file: `${PLACEMENT}/wait_queue.ts`,
+    text:
+      "Number(a.request.objectiveAt < now) -\n        Number(b.request.objectiveAt < now)",
     becomes: "0",
   },
   "load-reports": {
@@ -110,9 +111,9 @@
     becomes: "(age < 0 ? 0 : 1)",
   },
   "silence": {
-    file: `${PLACEMENT}/target_belief.ts`,
-    text: "if (quietFor < silentMs + waitMs) {",
-    becomes: "if (quietFor < Infinity) {",
+    file: `${PLACEMENT}/target_health.ts`,
+    text: "if (sinceResponseMs < unresponsiveMs + waitMs) {",
+    becomes: "if (sinceResponseMs < Infinity) {",
   },
 };
 
--- a/packages/bench/src/fleet/emulated_connections.ts
+++ b/packages/bench/src/fleet/emulated_connections.ts
@@ -8,8 +8,8 @@
 import type { Dispatcher } from "undici";
 import type {
   ConnectionSource,
-  TargetAnswer,
   TargetConnection,
+  TargetResponse,
 } from "@poplarthread/daemon/emulation";
 import type { Steering } from "@poplarthread/placement";
 import type { EventLoop } from "../decisions/event_loop.ts";
@@ -65,7 +65,7 @@
     return new EmulatedConnection(target, this.#options, this.#work);
   }
 
-  giveBack(connection: TargetConnection): void {
+  release(connection: TargetConnection): void {
     const emulated = connection as EmulatedConnection;
     const idle = this.#idle.get(emulated.target);
     if (idle === undefined) {
@@ -79,7 +79,7 @@
     connection.destroy();
   }
 
-  forget(target: TargetId): void {
+  remove(target: TargetId): void {
     this.#idle.delete(target);
   }
 }
@@ -129,12 +129,12 @@
       }
       this.#isOpen = true;
       this.#options.steering.roundTrips
-        .measured(this.#target.placed.zone, connectMs);
+        .record(this.#target.placed.zone, connectMs);
       this.#send(request, handler);
     });
   }
 
-  wasCut(): boolean {
+  wasTruncated(): boolean {
     return false;
   }
 
@@ -197,17 +197,17 @@
       return;
     }
     const status = result.kind === "refused" ? 503 : result.failed ? 500 : 200;
-    const response: TargetAnswer = {
+    const response: TargetResponse = {
       status,
-      lines: [],
+      rawHeaders: [],
       contentLength: 0,
       isChunked: false,
       requestId,
       isStamped: true,
-      notRun: result.kind === "refused",
+      isNotRun: result.kind === "refused",
       isOtherTarget: false,
       isLeaving: false,
-      restMs: 0,
+      backOffMs: 0,
       limitPerSecond: undefined,
       load: result.load,
     };
--- a/packages/bench/src/fleet/emulated_vm.ts
+++ b/packages/bench/src/fleet/emulated_vm.ts
@@ -15,18 +15,18 @@
   ZoneId,
 } from "@poplarthread/ids";
 import {
-  type AnnouncedTarget,
-  anonymous,
+  anonymousCaller,
   BUSY_TICK_MS,
   type Dialect,
   EventLog,
   type GatewayExchange,
   IDLE_TICK_MS,
+  type RegisteredTarget,
   RequestPath,
   type Route,
   type Service,
   SILENT_LOG,
-  type TargetAnswer,
+  type TargetResponse,
 } from "@poplarthread/daemon/emulation";
 import {
   EmulatedConnections,
@@ -84,7 +84,7 @@
       log: new EventLog(SILENT_LOG),
       connections: new EmulatedConnections(options, this.#work),
       targetChanged: () => undefined,
-      targetSilent: () => undefined,
+      targetUnresponsive: () => undefined,
       probe: (target) => this.#probe(target),
       publishLimit: () => undefined,
       publishCrash: () => undefined,
@@ -97,9 +97,9 @@
   }
 
   /** Applies the platform's current list of targets. */
-  setTargets(targets: ReadonlyMap<TargetId, AnnouncedTarget>): void {
+  setTargets(targets: ReadonlyMap<TargetId, RegisteredTarget>): void {
     if (this.isUp) {
-      this.path.listed(targets, this.#options.loop.now);
+      this.path.updateTargets(targets, this.#options.loop.now);
     }
   }
 
@@ -121,12 +121,12 @@
         deadlineMs: request.deadlineMs,
         object: request.object,
         credential: { kind: "none" },
-        lines: ["request-id", request.id],
+        rawHeaders: ["request-id", request.id],
         contentLength: 0,
         chunked: false,
       },
       route: request.route,
-      caller: anonymous(request.route),
+      caller: anonymousCaller(request.route),
       service: request.service,
       bodyBytes: 0,
       version: 1,
@@ -160,7 +160,7 @@
     loop.after(2 * delayMs(emulated), () => {
       if (this.isUp && emulated.isUp) {
         const { coldMs } = emulated;
-        this.path.steering.probeAnswered(id, { now: loop.now, coldMs });
+        this.path.steering.probeSucceeded(id, { now: loop.now, coldMs });
       }
     });
   }
@@ -177,7 +177,7 @@
 }
 
 /** A target's entry in the platform's list. */
-export function listEntryOf(target: EmulatedTarget): AnnouncedTarget {
+export function listEntryOf(target: EmulatedTarget): RegisteredTarget {
   const { placed, isLeaving, instance, coldMs } = target;
   return {
     id: placed.id,
@@ -209,9 +209,9 @@
  * only element of the raw headers.
  */
 const EMULATED_DIALECT = {
-  attemptLines: () => [],
-  readAnswer: (_status: number, raw: readonly unknown[]) =>
-    raw[0] as TargetAnswer,
+  attemptHeaders: () => [],
+  readResponse: (_status: number, raw: readonly unknown[]) =>
+    raw[0] as TargetResponse,
 } as unknown as Dialect;
 
 /** Passes the response of an exchange on to the emulated caller. */
--- a/packages/bench/src/fleet/oracle.ts
+++ b/packages/bench/src/fleet/oracle.ts
@@ -77,7 +77,7 @@
 
   override place(request: PlacementRequest): PlacementDecision {
     let earliest: TargetId | undefined;
-    let earliestAt = request.answerBy;
+    let earliestAt = request.deadlineAt;
     for (const target of this.#view.targets(request)) {
       const responseAt = this.#view.responseAt(target, request);
       if (responseAt < earliestAt && !request.tried.has(target.placed.id)) {
--- a/packages/bench/src/fleet/scenario.ts
+++ b/packages/bench/src/fleet/scenario.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-import { type Complaint, readDocument } from "@poplarthread/config";
+import { type Issue, readDocument } from "@poplarthread/config";
 import * as z from "zod";
 
 const positive = z.number().positive();
@@ -194,15 +194,15 @@
   return readDocument(text, { subject: "the scenario", schema, crossCheck });
 }
 
-function crossCheck(scenario: Scenario): readonly Complaint[] {
+function crossCheck(scenario: Scenario): readonly Issue[] {
   const zones = new Set(scenario.zones.map(({ name }) => name));
   const services = new Set(scenario.services.map(({ name }) => name));
   const kinds = new Set(scenario.kinds.map(({ name }) => name));
-  const complaints: Complaint[] = [];
+  const complaints: Issue[] = [];
   function checkDefined(
     name: string,
     names: Set<string>,
-    path: Complaint["path"],
+    path: Issue["path"],
   ) {
     if (!names.has(name)) {
       complaints.push({
--- a/packages/bench/src/fleet/world.ts
+++ b/packages/bench/src/fleet/world.ts
@@ -12,7 +12,7 @@
   ZoneId,
 } from "@poplarthread/ids";
 import type {
-  AnnouncedTarget,
+  RegisteredTarget,
   Route,
   Service,
 } from "@poplarthread/daemon/emulation";
@@ -218,7 +218,7 @@
   publishEvacuations(): void {
     this.loop.after(this.scenario.delaysMs.news, () => {
       const zones = new Set(this.evacuatedZones);
-      this.vms.forEach((vm) => vm.path.evacuate(zones, this.loop.now));
+      this.vms.forEach((vm) => vm.path.setEvacuatedZones(zones, this.loop.now));
     });
   }
 
@@ -234,8 +234,8 @@
       loop: this.loop,
       steering: this.#createSteering({
         vm: name,
-        place: { zone, region },
-        warmed: (pair) => this.#publishWarmTarget(name, pair),
+        location: { zone, region },
+        onWarmPair: (pair) => this.#publishWarmTarget(name, pair),
         retries: {
           ratio: this.scenario.retries.ratio,
           fixed: this.scenario.retries.fixed,
@@ -249,7 +249,7 @@
     });
     this.vms.set(name, vm);
     vm.setTargets(this.#targetList());
-    vm.path.evacuate(new Set(this.evacuatedZones), this.loop.now);
+    vm.path.setEvacuatedZones(new Set(this.evacuatedZones), this.loop.now);
     this.publishMembers();
   }
 
@@ -278,7 +278,7 @@
             vm.region === region &&
             (vm.zone === zone) === isNear;
           if (isReceiver) {
-            vm.path.steering.heardWarm(pair, this.loop.now);
+            vm.path.steering.addWarmPair(pair, this.loop.now);
           }
         }
       });
@@ -295,7 +295,7 @@
   }
 
   #createOracle(options: SteeringOptions): Steering {
-    const { zone } = options.place;
+    const { zone } = options.location;
     return new OracleSteering(options, {
       targets: ({ service }) =>
         this.liveTargets().filter(({ placed }) =>
@@ -327,7 +327,7 @@
     }
   }
 
-  #targetList(): ReadonlyMap<TargetId, AnnouncedTarget> {
+  #targetList(): ReadonlyMap<TargetId, RegisteredTarget> {
     return new Map(
       [...this.targets.values()].filter(({ isListed }) => isListed)
         .map((target) => [target.placed.id, listEntryOf(target)]),
@@ -350,7 +350,7 @@
     prefix: `/${kind.name}/`,
     repeat: kind.repeat,
     timeoutMs: kind.timeoutMs,
-    aimMs: kind.aimMs,
+    latencyObjectiveMs: kind.aimMs,
     priority: kind.priority,
     split: Object.entries(kind.services).map(([service, weight]) => ({
       service: service as ServiceId,
--- a/packages/cli/src/change.ts
+++ b/packages/cli/src/change.ts
@@ -10,8 +10,8 @@
 import { id, type OperationId } from "@poplarthread/ids";
 import type {
   AuditEntry,
-  ChangeAnswer,
   ChangeRequest,
+  ChangeResponse,
 } from "@poplarthread/operator-api";
 import type { Context } from "./context.ts";
 import { formatChange } from "./describe.ts";
@@ -63,7 +63,7 @@
 async function sendUntilKnown(
   { vms }: Context,
   request: ChangeRequest,
-): Promise<ChangeAnswer> {
+): Promise<ChangeResponse> {
   for (let attempt = 1;; attempt++) {
     const response = await vms.call((client) => client.change(request));
     if (response.kind !== "unknown" || attempt === MAX_ATTEMPTS) {
@@ -74,7 +74,7 @@
 }
 
 function explainFailure(
-  response: Exclude<ChangeAnswer, { kind: "accepted" }>,
+  response: Exclude<ChangeResponse, { kind: "accepted" }>,
   request: ChangeRequest,
 ): string {
   switch (response.kind) {
@@ -106,7 +106,7 @@
 }
 
 function exitCodeOf(
-  response: Exclude<ChangeAnswer, { kind: "accepted" }>,
+  response: Exclude<ChangeResponse, { kind: "accepted" }>,
 ): ExitCode {
   switch (response.kind) {
     case "conflict":
--- a/packages/cli/src/commands/explain_request.ts
+++ b/packages/cli/src/commands/explain_request.ts
@@ -13,8 +13,8 @@
 import {
   byTime,
   type LogLine,
-  RequestStoryReader,
   type RequestTimeline,
+  RequestTimelineReader,
 } from "../request_timeline.ts";
 
 /** Fields that are not printed: present on all lines or without information about one request. */
@@ -30,7 +30,7 @@
   args: readonly string[],
 ): Promise<ExitCode> {
   const request = requiredArg(args, 0, "the request's id");
-  const reader = new RequestStoryReader(request);
+  const reader = new RequestTimelineReader(request);
   const files = args.slice(1);
   if (files.length === 0) {
     await readLines(process.stdin, reader);
@@ -43,14 +43,14 @@
       );
     });
   }
-  const timeline = reader.story();
+  const timeline = reader.timeline();
   output.result(timeline, () => print(output, request, timeline));
   return timeline.own.length === 0 ? ExitCode.refused : ExitCode.ok;
 }
 
 async function readLines(
   stream: NodeJS.ReadableStream,
-  reader: RequestStoryReader,
+  reader: RequestTimelineReader,
 ): Promise<void> {
   for await (const line of createInterface({ input: stream })) {
     reader.read(line);
--- a/packages/cli/src/mod.ts
+++ b/packages/cli/src/mod.ts
@@ -9,6 +9,6 @@
 export { run, type RunOptions } from "./program.ts";
 export {
   type LogLine,
-  RequestStoryReader,
   type RequestTimeline,
+  RequestTimelineReader,
 } from "./request_timeline.ts";
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -97,7 +97,7 @@
   }
   if (err instanceof OperatorApiError) {
     output.note(err.message);
-    for (const { pointer, message } of err.answer?.findings ?? []) {
+    for (const { pointer, message } of err.errorBody?.findings ?? []) {
       output.note(`  ${pointer}: ${message}`);
     }
     return err.status === 0 || err.status >= 500
--- a/packages/cli/src/request_timeline.ts
+++ b/packages/cli/src/request_timeline.ts
@@ -40,7 +40,7 @@
 ]);
 
 /** Reads logs line by line and keeps the lines that may concern one request. */
-export class RequestStoryReader {
+export class RequestTimelineReader {
   readonly #request: string;
   readonly #requestLines: LogLine[] = [];
   readonly #stateLines: LogLine[] = [];
@@ -68,7 +68,7 @@
   }
 
   /** Returns the timeline after all lines have been added. */
-  story(): RequestTimeline {
+  timeline(): RequestTimeline {
     const own = this.#requestLines.toSorted(byTime);
     return {
       own,
--- a/packages/cli/src/request_timeline_test.ts
+++ b/packages/cli/src/request_timeline_test.ts
@@ -5,7 +5,7 @@
  */
 
 import { expect, test } from "vitest";
-import { RequestStoryReader } from "./request_timeline.ts";
+import { RequestTimelineReader } from "./request_timeline.ts";
 
 function line(
   second: number,
@@ -17,9 +17,9 @@
 }
 
 function timelineOf(request: string, lines: readonly string[]) {
-  const reader = new RequestStoryReader(request);
+  const reader = new RequestTimelineReader(request);
   lines.forEach((one) => reader.read(one));
-  const { own, beliefs, unreadable } = reader.story();
+  const { own, beliefs, unreadable } = reader.timeline();
   const messages = (list: typeof own) => list.map(({ message }) => message);
   return { own: messages(own), beliefs: messages(beliefs), unreadable };
 }
--- a/packages/config/src/change.ts
+++ b/packages/config/src/change.ts
@@ -59,7 +59,7 @@
   | { readonly kind: "refused"; readonly reason: string };
 
 /** Id of the preset that a change reads or writes, if any. */
-export function presetOf(change: Change): PresetId | undefined {
+export function presetIdOf(change: Change): PresetId | undefined {
   switch (change.kind) {
     case "edit":
       return change.preset.id;
--- a/packages/config/src/document.ts
+++ b/packages/config/src/document.ts
@@ -14,22 +14,22 @@
 } from "./finding.ts";
 
 /** A problem that a check reports, before it is located in the document. */
-export interface Complaint {
+export interface Issue {
   readonly path: readonly PathStep[];
   readonly message: string;
 }
 
 /** A document format: its schema and the checks across fields. */
-export interface Format<T> {
+export interface DocumentFormat<T> {
   /** Name of the document in messages, for example "the settings". */
   readonly subject: string;
   readonly schema: ZodType<T>;
   /** Checks across fields; runs only on documents that match the schema. */
-  readonly crossCheck: (value: T) => readonly Complaint[];
+  readonly crossCheck: (value: T) => readonly Issue[];
 }
 
 /** Parses `text` as a document of `format`; throws {@link FindingsError} with all findings. */
-export function readDocument<T>(text: string, format: Format<T>): T {
+export function readDocument<T>(text: string, format: DocumentFormat<T>): T {
   const syntaxErrors: ParseError[] = [];
   const root = parseTree(text, syntaxErrors, { disallowComments: true });
   const locator = new Locator(text, root);
@@ -41,13 +41,13 @@
     }));
     throw new FindingsError(format.subject, findings);
   }
-  return readValue(JSON.parse(text), format, locator);
+  return validateValue(JSON.parse(text), format, locator);
 }
 
 /** Validates a parsed value as a document of `format`; without a `locator`, findings have pointers but no line or column. */
-export function readValue<T>(
+export function validateValue<T>(
   value: unknown,
-  format: Format<T>,
+  format: DocumentFormat<T>,
   locator: Locator = new Locator("", undefined),
 ): T {
   const parsed = format.schema.safeParse(value, { reportInput: true });
@@ -67,8 +67,8 @@
   return parsed.data;
 }
 
-function schemaIssues(error: ZodError): readonly Complaint[] {
-  return error.issues.flatMap((issue): Complaint[] => {
+function schemaIssues(error: ZodError): readonly Issue[] {
+  return error.issues.flatMap((issue): Issue[] => {
     const path = issue.path.map((step) =>
       typeof step === "symbol" ? String(step) : step
     );
--- a/packages/config/src/mod.ts
+++ b/packages/config/src/mod.ts
@@ -13,10 +13,10 @@
   toPointer,
 } from "./finding.ts";
 export {
-  type Complaint,
-  type Format,
+  type DocumentFormat,
+  type Issue,
   readDocument,
-  readValue,
+  validateValue,
 } from "./document.ts";
 export { type Settings, settingsFormat } from "./settings.ts";
 export {
@@ -36,6 +36,6 @@
   type ChangeBase,
   type ChangeResult,
   type ChangeSummary,
-  presetOf,
+  presetIdOf,
   type PresetVersion,
 } from "./change.ts";
--- a/packages/config/src/preset.ts
+++ b/packages/config/src/preset.ts
@@ -8,7 +8,7 @@
 import * as z from "zod";
 import type { PresetId, RegionId, ServiceId, ZoneId } from "@poplarthread/ids";
 import { branded } from "./branded.ts";
-import type { Format } from "./document.ts";
+import type { DocumentFormat } from "./document.ts";
 import { checkPreset } from "./preset_check.ts";
 
 const milliseconds = z.int().min(1).max(3_600_000);
@@ -142,7 +142,7 @@
 export type PresetLink = Preset["links"][number];
 
 /** The preset format. */
-export const presetFormat: Format<Preset> = {
+export const presetFormat: DocumentFormat<Preset> = {
   subject: "the preset",
   schema: presetSchema,
   crossCheck: checkPreset,
--- a/packages/config/src/preset_check.ts
+++ b/packages/config/src/preset_check.ts
@@ -6,11 +6,11 @@
  */
 
 import type { RegionId } from "@poplarthread/ids";
-import type { Complaint } from "./document.ts";
+import type { Issue } from "./document.ts";
 import type { Preset, PresetService } from "./preset.ts";
 
 /** All issues of a preset that matches the schema. */
-export function checkPreset(preset: Preset): readonly Complaint[] {
+export function checkPreset(preset: Preset): readonly Issue[] {
   return [
     ...checkUnique(preset),
     ...checkReferences(preset),
@@ -20,11 +20,11 @@
   ];
 }
 
-function checkUnique(preset: Preset): readonly Complaint[] {
+function checkUnique(preset: Preset): readonly Issue[] {
   const lists = ["regions", "services", "classes", "routes"] as const;
   return lists.flatMap((list) => {
     const seen = new Set<string>();
-    return preset[list].flatMap(({ id }, index): Complaint[] => {
+    return preset[list].flatMap(({ id }, index): Issue[] => {
       if (!seen.has(id)) {
         seen.add(id);
         return [];
@@ -34,8 +34,8 @@
   });
 }
 
-function checkReferences(preset: Preset): readonly Complaint[] {
-  const issues: Complaint[] = [];
+function checkReferences(preset: Preset): readonly Issue[] {
+  const issues: Issue[] = [];
   const known = {
     region: new Set<string>(preset.regions.map(({ id }) => id)),
     service: new Set<string>(preset.services.map(({ id }) => id)),
@@ -44,7 +44,7 @@
   function checkReference(
     kind: keyof typeof known,
     name: string,
-    path: Complaint["path"],
+    path: Issue["path"],
   ): void {
     if (!known[kind].has(name)) {
       const knownNames = [...known[kind]].join(", ");
@@ -74,7 +74,7 @@
   return issues;
 }
 
-function checkShift(preset: Preset): readonly Complaint[] {
+function checkShift(preset: Preset): readonly Issue[] {
   const { maxStepShare, coldStepShare } = preset.shift;
   if (coldStepShare <= maxStepShare) {
     return [];
@@ -86,7 +86,7 @@
   }];
 }
 
-function checkReserves(preset: Preset): readonly Complaint[] {
+function checkReserves(preset: Preset): readonly Issue[] {
   const total = preset.classes.reduce(
     (sum, { reservedShare }) => sum + reservedShare,
     0,
@@ -100,8 +100,8 @@
   }];
 }
 
-function checkCapacity(preset: Preset): readonly Complaint[] {
-  return preset.services.flatMap((service, index): readonly Complaint[] => {
+function checkCapacity(preset: Preset): readonly Issue[] {
+  return preset.services.flatMap((service, index): readonly Issue[] => {
     const demand = demandByRegion(preset, service);
     const wanted = sum(demand.values());
     const usable = sum(
@@ -124,8 +124,8 @@
   preset: Preset,
   service: PresetService,
   { index, demand }: { index: number; demand: ReadonlyMap<RegionId, number> },
-): readonly Complaint[] {
-  return [...demand].flatMap(([region, wanted]): Complaint[] => {
+): readonly Issue[] {
+  return [...demand].flatMap(([region, wanted]): Issue[] => {
     const excess = wanted - usableSlots(service, region);
     const links = preset.links.filter(({ from, to }) =>
       from === region && to !== region
--- a/packages/config/src/settings.ts
+++ b/packages/config/src/settings.ts
@@ -9,7 +9,7 @@
 import * as z from "zod";
 import type { RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import { branded } from "./branded.ts";
-import type { Complaint, Format } from "./document.ts";
+import type { DocumentFormat, Issue } from "./document.ts";
 
 const port = z.int().min(0).max(65535);
 const milliseconds = z.int().min(1).max(3_600_000);
@@ -84,14 +84,14 @@
 export type Settings = z.output<typeof schema>;
 
 /** The settings format. */
-export const settingsFormat: Format<Settings> = {
+export const settingsFormat: DocumentFormat<Settings> = {
   subject: "the settings",
   schema,
   crossCheck: checkSettings,
 };
 
-function checkSettings(settings: Settings): readonly Complaint[] {
-  const issues: Complaint[] = [];
+function checkSettings(settings: Settings): readonly Issue[] {
+  const issues: Issue[] = [];
   const seen = new Map<string, string>();
   for (const [name, { host, port }] of Object.entries(settings.listen)) {
     const address = `${host}:${port}`;
--- a/packages/coordination/src/configuration/configuration_test.ts
+++ b/packages/coordination/src/configuration/configuration_test.ts
@@ -118,9 +118,9 @@
     });
     expect(await follower.poll()).toBe(false);
     expect(follower.inForce).toBeUndefined();
-    follower.hearPeer(two, 40);
-    follower.hearPeer(one, 10);
-    follower.hearRevision(3);
+    follower.receiveConfiguration(two, 40);
+    follower.receiveConfiguration(one, 10);
+    follower.receiveRevision(3);
     await vi.advanceTimersByTimeAsync(1_000);
     expect(follower.inForce).toEqual(two);
     expect(follower.ageMs).toBe(1_040);
--- a/packages/coordination/src/configuration/follower.ts
+++ b/packages/coordination/src/configuration/follower.ts
@@ -95,12 +95,12 @@
    * Handles a configuration that a peer pushed or returned; `ageMs` is the time
    * since the peer knew it to be the latest.
    */
-  hearPeer(inForce: InForce<Value>, ageMs: number): void {
+  receiveConfiguration(inForce: InForce<Value>, ageMs: number): void {
     this.#handle({ kind: "peer", inForce, ageMs });
   }
 
   /** Handles a peer's revision that came with a heartbeat. */
-  hearRevision(revision: number): void {
+  receiveRevision(revision: number): void {
     this.#handle({ kind: "heard", revision });
   }
 
--- a/packages/coordination/src/freshness/freshness.ts
+++ b/packages/coordination/src/freshness/freshness.ts
@@ -16,13 +16,13 @@
  */
 
 /** Start and end of a read of the table. */
-export interface Reading {
+export interface TableRead {
   readonly startedAt: number;
   readonly endedAt: number;
 }
 
 /** Age of a process's copy as reported to another process; durations only. */
-export interface FreshnessWord {
+export interface FreshnessReport {
   /** Time since the start of the read that returned the copy, in milliseconds. */
   readonly readAgeMs: number;
   /** Time between receipt of the request and this response, in milliseconds. */
@@ -30,13 +30,13 @@
 }
 
 /** Times of a request and its response, both on the clock of the process that uses them. */
-export interface Question {
+export interface RequestTimes {
   readonly askedAt: number;
   readonly answeredAt: number;
 }
 
 /** Time up to which the result of a read is known to be complete. */
-export function knownSinceReading({ startedAt }: Reading): number {
+export function knownSinceRead({ startedAt }: TableRead): number {
   return startedAt;
 }
 
@@ -44,19 +44,19 @@
  * Time up to which a copy received from another process is known to be complete. Only
  * the total transit time of both directions is known, so all of it counts as age.
  */
-export function knownSinceWord(
-  { readAgeMs, heldMs }: FreshnessWord,
-  { askedAt, answeredAt }: Question,
+export function knownSinceReport(
+  { readAgeMs, heldMs }: FreshnessReport,
+  { askedAt, answeredAt }: RequestTimes,
 ): number {
   const transitMs = Math.max(0, answeredAt - askedAt - heldMs);
   return answeredAt - transitMs - readAgeMs;
 }
 
 /** The age report of a process whose copy is complete up to `knownSince`, in its response to a request. */
-export function freshnessWord(
+export function freshnessReport(
   knownSince: number,
-  { askedAt, answeredAt }: Question,
-): FreshnessWord {
+  { askedAt, answeredAt }: RequestTimes,
+): FreshnessReport {
   // Rounded so that the receiver underestimates neither the age nor the transit time.
   return {
     readAgeMs: Math.ceil(answeredAt - knownSince),
@@ -65,7 +65,7 @@
 }
 
 /** The later of two times up to which a copy is complete: a copy never becomes older. */
-export function newest(knownSince: number, other: number): number {
+export function laterKnownSince(knownSince: number, other: number): number {
   return Math.max(knownSince, other);
 }
 
--- a/packages/coordination/src/freshness/mod.ts
+++ b/packages/coordination/src/freshness/mod.ts
@@ -5,12 +5,12 @@
  */
 
 export {
-  type FreshnessWord,
-  freshnessWord,
+  type FreshnessReport,
+  freshnessReport,
   isReliable,
-  knownSinceReading,
-  knownSinceWord,
-  newest,
-  type Question,
-  type Reading,
+  knownSinceRead,
+  knownSinceReport,
+  laterKnownSince,
+  type RequestTimes,
+  type TableRead,
 } from "./freshness.ts";
--- a/packages/coordination/src/held_back/held_back.ts
+++ b/packages/coordination/src/held_back/held_back.ts
@@ -103,7 +103,7 @@
    * Records that a target crashed with these requests in flight. Returns the
    * messages to send to the peers.
    */
-  targetDied(
+  targetCrashed(
     target: TargetId,
     inFlight: readonly Fingerprint[],
     now: number,
@@ -121,7 +121,7 @@
       target,
       remainingMs: ENTRY_LIFETIME_MS,
     }));
-    messages.forEach((message) => this.hear(message, now));
+    messages.forEach((message) => this.receive(message, now));
     return messages;
   }
 
@@ -138,12 +138,12 @@
     }
     const remainingMs = ENTRY_LIFETIME_MS;
     const message = { kind: "completed", fingerprint, remainingMs } as const;
-    this.hear(message, now);
+    this.receive(message, now);
     return [message];
   }
 
   /** Applies a peer's message; messages may arrive in any order and repeatedly. */
-  hear(message: HeldBackMessage, now: number): void {
+  receive(message: HeldBackMessage, now: number): void {
     const { fingerprint, remainingMs } = message;
     const old = this.#unexpired(fingerprint, now);
     const crashedTargets = new Set(old?.crashedTargets);
--- a/packages/coordination/src/held_back/held_back_test.ts
+++ b/packages/coordination/src/held_back/held_back_test.ts
@@ -26,16 +26,16 @@
     const [a, b, c] = [new HeldBack(), new HeldBack(), new HeldBack()] as const;
     const poison = fingerprint("poison");
     const bystander = fingerprint("bystander");
-    const first = a.targetDied(target("t1"), [poison, bystander], 0);
+    const first = a.targetCrashed(target("t1"), [poison, bystander], 0);
     for (const message of first) {
-      b.hear(message, 10);
-      c.hear(message, 10);
+      b.receive(message, 10);
+      c.receive(message, 10);
     }
     expect(b.verdict(poison, 20).kind).toBe("suspect");
-    const second = b.targetDied(target("t2"), [poison], 5_000);
+    const second = b.targetCrashed(target("t2"), [poison], 5_000);
     // Messages may be repeated and arrive before older ones.
     [...second, ...second, ...first].forEach((message) =>
-      c.hear(message, 5_010)
+      c.receive(message, 5_010)
     );
     for (const vm of [b, c]) {
       expect(vm.verdict(poison, 5_020).kind).toBe("held-back");
@@ -49,10 +49,10 @@
   it("never holds back a request that a target has completed", () => {
     const vm = new HeldBack();
     const page = fingerprint("page");
-    vm.targetDied(target("t1"), [page], 0);
+    vm.targetCrashed(target("t1"), [page], 0);
     vm.completed(page, 3_000);
-    vm.targetDied(target("t2"), [page], 5_000);
-    vm.targetDied(target("t3"), [page], 10_000);
+    vm.targetCrashed(target("t2"), [page], 5_000);
+    vm.targetCrashed(target("t3"), [page], 10_000);
     expect(vm.verdict(page, 10_001).kind).toBe("free");
   });
 
@@ -62,10 +62,10 @@
     const vm = new HeldBack();
     const requests = Array.from({ length: 12 }, (_, n) => fingerprint(`r${n}`));
     requests.forEach((request, n) =>
-      vm.targetDied(target(`t${n}`), [request], n * 10)
+      vm.targetCrashed(target(`t${n}`), [request], n * 10)
     );
     requests.forEach((request, n) =>
-      vm.targetDied(target(`u${n}`), [request], 500 + n * 10)
+      vm.targetCrashed(target(`u${n}`), [request], 500 + n * 10)
     );
     const verdicts = requests.map((request) => vm.verdict(request, 1_000).kind);
     expect(verdicts).not.toContain("held-back");
@@ -86,7 +86,7 @@
       check = () => true;
       run(model: HeldBackMessage[], real: HeldBack): void {
         model.push(this.#message);
-        real.hear(this.#message, 0);
+        real.receive(this.#message, 0);
         for (const name of [fingerprint("a"), fingerprint("b")]) {
           expect(real.verdict(name, 0).kind).toBe(expected(model, name));
         }
@@ -107,7 +107,7 @@
   it("limits the size of its table", () => {
     const vm = new HeldBack();
     for (let n = 0; n < 10_000; n++) {
-      vm.targetDied(target("t"), [fingerprint(`r${n}`)], n * 5_000);
+      vm.targetCrashed(target("t"), [fingerprint(`r${n}`)], n * 5_000);
     }
     expect(vm.size).toBeLessThanOrEqual(4_096);
   });
--- a/packages/daemon/src/backend.ts
+++ b/packages/daemon/src/backend.ts
@@ -13,10 +13,10 @@
 import type {
   AuditEntry,
   AuditRange,
-  ChangeAnswer,
+  ChangeResponse,
   ExplainRequest,
   Explanation,
-  LookupAnswer,
+  LookupResponse,
   PlanStatus,
   PresetSummary,
   Status,
@@ -92,7 +92,7 @@
     return this.#parts.configuration.inForce;
   }
 
-  async accept(change: OperatorChange): Promise<ChangeAnswer> {
+  async accept(change: OperatorChange): Promise<ChangeResponse> {
     const answer = await this.#parts.admin.accept(change);
     if (answer.kind === "accepted") {
       this.#parts.configuration.send({ kind: "accepted" });
@@ -116,7 +116,7 @@
     return this.#parts.admin.presetHistory(id);
   }
 
-  lookup(clientZone?: ZoneId): LookupAnswer {
+  lookup(clientZone?: ZoneId): LookupResponse {
     return this.#parts.lookups.answer(clientZone);
   }
 
--- a/packages/daemon/src/configuration_admin.ts
+++ b/packages/daemon/src/configuration_admin.ts
@@ -10,7 +10,7 @@
   type ChangeBase,
   type ChangeSummary,
   type Configuration,
-  presetOf,
+  presetIdOf,
   type PresetVersion,
 } from "@poplarthread/config";
 import {
@@ -31,7 +31,7 @@
 import type {
   AuditEntry,
   AuditRange,
-  ChangeAnswer,
+  ChangeResponse,
   PresetSummary,
 } from "@poplarthread/operator-api";
 import {
@@ -68,7 +68,7 @@
   }
 
   /** Accepts a change or says why not; never throws for a table out of reach. */
-  async accept(request: OperatorChange): Promise<ChangeAnswer> {
+  async accept(request: OperatorChange): Promise<ChangeResponse> {
     try {
       return await this.#accept(request);
     } catch (err) {
@@ -136,7 +136,7 @@
       .reverse();
   }
 
-  async #accept(request: OperatorChange): Promise<ChangeAnswer> {
+  async #accept(request: OperatorChange): Promise<ChangeResponse> {
     const { change, seenRevision, operation: operationId } = request;
     const base = await this.#readBase(request);
     if (base.operation !== undefined) {
@@ -161,7 +161,7 @@
   }
 
   async #readBase({ operation, change }: OperatorChange): Promise<Base> {
-    const preset = presetOf(change);
+    const preset = presetIdOf(change);
     const keys = [IN_FORCE_KEY, operationKey(operation)];
     if (preset !== undefined) {
       keys.push(latestKey(preset));
@@ -183,7 +183,7 @@
   async #earlierOutcome(
     { revision }: OperationRow,
     change: Change,
-  ): Promise<ChangeAnswer> {
+  ): Promise<ChangeResponse> {
     const entry = await this.#auditEntry(revision);
     if (entry !== undefined && isSameChange(entry.change, change)) {
       return { kind: "accepted", revision };
@@ -196,7 +196,7 @@
   async #conflict(
     seenRevision: number,
     revision: number,
-  ): Promise<ChangeAnswer> {
+  ): Promise<ChangeResponse> {
     const won = await this.#auditEntry(seenRevision + 1);
     return { kind: "conflict", revision, won };
   }
@@ -236,7 +236,7 @@
   return configurationOf({ revision, operationId, value });
 }
 
-function toAnswer(outcome: AcceptOutcome<InForceJson>): ChangeAnswer {
+function toAnswer(outcome: AcceptOutcome<InForceJson>): ChangeResponse {
   switch (outcome.kind) {
     case "accepted":
       return outcome;
@@ -262,7 +262,7 @@
   }
 }
 
-function unavailable(): ChangeAnswer {
+function unavailable(): ChangeResponse {
   return {
     kind: "unavailable",
     reason: "the table is out of reach; nothing was written",
--- a/packages/daemon/src/configuration_task.ts
+++ b/packages/daemon/src/configuration_task.ts
@@ -95,7 +95,7 @@
     // never goes back, and a table outage must not make a serving VM unready.
     this.#polling = false;
     this.#polledAt = -Infinity;
-    this.every(TICK_MS, { kind: "tick" });
+    this.sendEvery(TICK_MS, { kind: "tick" });
     this.#updateReader();
     this.#poll();
   }
@@ -123,7 +123,7 @@
         this.#updateReader();
         return;
       case "ahead":
-        this.#follower.hearRevision(message.revision);
+        this.#follower.receiveRevision(message.revision);
         this.#perform(this.#tree.ahead(message.vm, message.revision, now));
         return;
       case "accepted":
@@ -141,7 +141,7 @@
   async #askPeers(): Promise<void> {
     for (const { inForce, ageMs } of await this.#options.askPeers()) {
       if (inForce !== undefined) {
-        this.#follower.hearPeer(inForce, ageMs);
+        this.#follower.receiveConfiguration(inForce, ageMs);
       }
     }
   }
@@ -235,6 +235,6 @@
 
   #apply(body: string): void {
     const inForce = JSON.parse(body) as InForce<InForceJson>;
-    this.#follower.hearPeer(inForce, PUSH_AGE_MS);
+    this.#follower.receiveConfiguration(inForce, PUSH_AGE_MS);
   }
 }
--- a/packages/daemon/src/crash_watch.ts
+++ b/packages/daemon/src/crash_watch.ts
@@ -111,7 +111,7 @@
         this.#judge(message.target);
         return;
       case "peer":
-        this.#heldBack.hear(message.message, performance.now());
+        this.#heldBack.receive(message.message, performance.now());
         this.#show(message.message);
         return;
     }
@@ -131,7 +131,7 @@
     if (suspicion === undefined) {
       suspicion = { fingerprints: new Set(), alive: false };
       this.#suspicions.set(target, suspicion);
-      this.after(GATHER_MS, { kind: "judge", target });
+      this.sendAfter(GATHER_MS, { kind: "judge", target });
     }
     suspicion.fingerprints.add(fingerprint);
   }
@@ -156,7 +156,7 @@
     if (suspicion === undefined || suspicion.alive) {
       return;
     }
-    const messages = this.#heldBack.targetDied(
+    const messages = this.#heldBack.targetCrashed(
       target,
       [...suspicion.fingerprints],
       performance.now(),
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -56,7 +56,7 @@
 import { type PeerEffect, SteeringTask } from "./steering_task.ts";
 import { Supervisor } from "./supervisor.ts";
 import { TargetPoller, type TargetReport } from "./target_poller.ts";
-import type { Supervised } from "./task.ts";
+import type { SupervisedTask } from "./task.ts";
 import { VmListTask } from "./vm_list_task.ts";
 
 /** What is read from the files that the settings name. */
@@ -292,7 +292,7 @@
 
   async start(): Promise<void> {
     await this.#root.start({
-      failed: (_task: Supervised, err: unknown) => this.#fail(err),
+      failed: (_task: SupervisedTask, err: unknown) => this.#fail(err),
     });
     // Membership knew itself before those who ask about members were up.
     this.#tellMembers();
@@ -338,7 +338,7 @@
         this.#log.info("task restarted", { task });
       },
     };
-    const group = (name: string, tasks: readonly Supervised[]) => {
+    const group = (name: string, tasks: readonly SupervisedTask[]) => {
       const supervisor = new Supervisor(name, { listener });
       tasks.forEach((task) => supervisor.add(task));
       return supervisor;
@@ -423,7 +423,7 @@
         this.#callers.exchangeEnded();
         const ms = now - exchange.startedAt;
         this.#metrics.requestEnded(route.class, end, ms / 1_000);
-        if (this.#log.debugs || end === "broken") {
+        if (this.#log.isDebugEnabled || end === "broken") {
           this.#log[end === "broken" ? "warn" : "debug"]("request ended", {
             request: exchange.id,
             revision: exchange.revision,
--- a/packages/daemon/src/errors.ts
+++ b/packages/daemon/src/errors.ts
@@ -30,7 +30,7 @@
 }
 
 /** The data received on a connection is not a valid response to the request sent on it. */
-export class WrongAnswerError extends Error {
+export class InvalidResponseError extends Error {
   override readonly name = "InvalidResponseError";
 }
 
--- a/packages/daemon/src/gateway/accounts/accounts.ts
+++ b/packages/daemon/src/gateway/accounts/accounts.ts
@@ -11,7 +11,7 @@
 import type { GatewaySettings } from "../settings.ts";
 import type { VmDirectory } from "../vm_directory.ts";
 import type { AccountIndex } from "./client_account.ts";
-import { type Credit, CreditExchange } from "./credit_exchange.ts";
+import { CreditExchange, type CreditOutcome } from "./credit_exchange.ts";
 import { CreditLedger } from "./credit_ledger.ts";
 
 /** Safety margin by which a VM stops using its list of keys before the revocation bound: a store that loses its history may deliver changes a second late. */
@@ -78,7 +78,10 @@
   }
 
   /** Requests the credit for one request; calls `done` once, possibly synchronously. */
-  requestCredit(account: AccountId, done: (credit: Credit) => void): void {
+  requestCredit(
+    account: AccountId,
+    done: (credit: CreditOutcome) => void,
+  ): void {
     this.creditExchange.request(account, done);
   }
 
--- a/packages/daemon/src/gateway/accounts/admission.ts
+++ b/packages/daemon/src/gateway/accounts/admission.ts
@@ -13,8 +13,8 @@
   rankOf,
 } from "./client_account.ts";
 import type { Route } from "../configuration.ts";
-import type { Credit } from "./credit_exchange.ts";
-import type { OwnAnswerReason } from "../own_answer.ts";
+import type { CreditOutcome } from "./credit_exchange.ts";
+import type { LocalReplyReason } from "../local_reply.ts";
 import type { CallerRequest } from "../ports.ts";
 
 /** Retry-After while this VM does not know which keys are valid: reading the store, or the changes that a peer relays, takes about 10 to 200 ms. */
@@ -22,7 +22,7 @@
 
 /** Why a request is refused. */
 export interface AdmissionRefusal {
-  readonly reason: OwnAnswerReason;
+  readonly reason: LocalReplyReason;
   readonly retryAfterMs: number | undefined;
 }
 
@@ -40,9 +40,9 @@
    * Charges the request to its account's quota. Calls `done` once, possibly
    * synchronously, with the refusal, or undefined if the request may run.
    */
-  count(done: (refusal: AdmissionRefusal | undefined) => void): void;
+  chargeQuota(done: (refusal: AdmissionRefusal | undefined) => void): void;
   /** Refunds the charge of a request that never ran. */
-  uncount(): void;
+  refundQuota(): void;
 }
 
 /** An admission decision. */
@@ -57,9 +57,12 @@
   /** Whether this VM knows of every key revoked longer ago than the deployment's revocation bound. */
   knowsRevocations(): boolean;
   /** Requests the credit for one request of an account that has a quota. */
-  requestCredit(account: AccountId, done: (credit: Credit) => void): void;
+  requestCredit(
+    account: AccountId,
+    done: (credit: CreditOutcome) => void,
+  ): void;
   /** Refunds the credit of a request that did not run. */
-  giveBackCredit(account: AccountId): void;
+  refundCredit(account: AccountId): void;
 }
 
 /** Decides which requests are admitted; see the module comment. */
@@ -74,7 +77,7 @@
   admit(request: CallerRequest, route: Route): Admission {
     const identity = this.#identify(request, route);
     if (identity.kind === "anonymous") {
-      return { kind: "admitted", caller: anonymous(route) };
+      return { kind: "admitted", caller: anonymousCaller(route) };
     }
     // A stale list of keys proves neither that a key is valid nor that it is invalid.
     if (!this.#options.knowsRevocations()) {
@@ -118,10 +121,10 @@
           ? undefined
           : refusal("unauthenticated");
       },
-      count: (done) => this.#chargeQuota(account, done),
-      uncount: () => {
+      chargeQuota: (done) => this.#chargeQuota(account, done),
+      refundQuota: () => {
         if (account.quota !== undefined) {
-          this.#options.giveBackCredit(account.id);
+          this.#options.refundCredit(account.id);
         }
       },
     };
@@ -139,7 +142,7 @@
   }
 }
 
-function refusalFor(credit: Credit): AdmissionRefusal | undefined {
+function refusalFor(credit: CreditOutcome): AdmissionRefusal | undefined {
   switch (credit.kind) {
     case "granted":
       return undefined;
@@ -151,23 +154,23 @@
 }
 
 /** The caller of a request that needs no key. */
-export function anonymous(route: Route): AdmittedCaller {
+export function anonymousCaller(route: Route): AdmittedCaller {
   return {
     account: undefined,
     rank: rankOf(route, undefined),
     regions: route.regions,
     recheck: () => undefined,
-    count: (done) => done(undefined),
-    uncount: () => undefined,
+    chargeQuota: (done) => done(undefined),
+    refundQuota: () => undefined,
   };
 }
 
-function refused(reason: OwnAnswerReason, retryAfterMs?: number): Admission {
+function refused(reason: LocalReplyReason, retryAfterMs?: number): Admission {
   return { kind: "refused", refusal: refusal(reason, retryAfterMs) };
 }
 
 function refusal(
-  reason: OwnAnswerReason,
+  reason: LocalReplyReason,
   retryAfterMs?: number,
 ): AdmissionRefusal {
   return { reason, retryAfterMs };
--- a/packages/daemon/src/gateway/accounts/credit_exchange.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange.ts
@@ -15,7 +15,7 @@
   isJSONRPCResponse,
 } from "json-rpc-2.0";
 import type { AccountId } from "@poplarthread/ids";
-import { keepersOf } from "@poplarthread/placement";
+import { creditOwners } from "@poplarthread/placement";
 import * as z from "zod";
 import { Task } from "../../task.ts";
 import type { CreditLedger, CreditResponse } from "./credit_ledger.ts";
@@ -50,7 +50,7 @@
 ]);
 
 /** Outcome of a credit request. */
-export type Credit =
+export type CreditOutcome =
   | { readonly kind: "granted" }
   | { readonly kind: "used-up"; readonly readyInMs: number }
   /** No credit owner responded with a decision. */
@@ -78,7 +78,7 @@
   readonly account: AccountId;
   /** Credit owners that have not been asked yet. */
   readonly untried: RankedMember[];
-  readonly done: (credit: Credit) => void;
+  readonly done: (credit: CreditOutcome) => void;
   /** Shortest time until credit that an owner has announced; undefined if none has. */
   readyInMs: number | undefined;
   sentAt: number;
@@ -105,12 +105,12 @@
   }
 
   /** Requests the credit for one request; calls `done` once, possibly synchronously. */
-  request(account: AccountId, done: (credit: Credit) => void): void {
+  request(account: AccountId, done: (credit: CreditOutcome) => void): void {
     if (this.#takeRefund(account)) {
       done({ kind: "granted" });
       return;
     }
-    const untried = [...keepersOf(account, this.#options.upInRegion())];
+    const untried = [...creditOwners(account, this.#options.upInRegion())];
     this.#tryNextOwner({
       account,
       untried,
@@ -135,7 +135,7 @@
     }
     this.#nextBorrowAt.set(account, now + BORROW_INTERVAL_MS);
     for (const vms of this.#options.otherRegions()) {
-      const [owner] = keepersOf(account, vms);
+      const [owner] = creditOwners(account, vms);
       if (owner !== undefined) {
         this.#pendingLoans.set(
           this.#sendRequest(owner, LEND_METHOD, { account, amount }),
@@ -204,7 +204,7 @@
   #scheduleCheck(): void {
     if (!this.#isCheckScheduled) {
       this.#isCheckScheduled = true;
-      this.after(CHECK_INTERVAL_MS, { kind: "check" });
+      this.sendAfter(CHECK_INTERVAL_MS, { kind: "check" });
     }
   }
 
--- a/packages/daemon/src/gateway/accounts/credit_exchange_test.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange_test.ts
@@ -7,9 +7,9 @@
 import { createSocket } from "node:dgram";
 import { afterEach, beforeEach, describe, expect, test } from "vitest";
 import type { AccountId } from "@poplarthread/ids";
-import { hashText, keepersOf } from "@poplarthread/placement";
-import { nextPort, ownAddress } from "../../loopback.ts";
-import { type Credit, CreditExchange } from "./credit_exchange.ts";
+import { creditOwners, hashText } from "@poplarthread/placement";
+import { loopbackAddress, nextPort } from "../../loopback.ts";
+import { CreditExchange, type CreditOutcome } from "./credit_exchange.ts";
 import { CreditLedger } from "./credit_ledger.ts";
 import { memberNamed } from "../testing.ts";
 import type { RankedMember } from "../vm_directory.ts";
@@ -43,7 +43,7 @@
   async start(count: number): Promise<void> {
     for (let index = 0; index < count; index++) {
       const vm = `vm-${this.#name}-${index}`;
-      const peerAddress = `${ownAddress(this.#firstAddress + index)}:1`;
+      const peerAddress = `${loopbackAddress(this.#firstAddress + index)}:1`;
       this.vms.push({
         ...memberNamed(vm, { peerAddress }),
         hash: hashText(vm),
@@ -58,10 +58,10 @@
 
   /** The credit owners of an account, in the order in which they are asked. */
   owners(account: AccountId): readonly RankedMember[] {
-    return keepersOf(account, this.#up());
+    return creditOwners(account, this.#up());
   }
 
-  request(vm: RankedMember, account = ANNA): Promise<Credit> {
+  request(vm: RankedMember, account = ANNA): Promise<CreditOutcome> {
     return new Promise((resolve) =>
       this.tasks.get(vm.vm)!.request(account, resolve)
     );
@@ -136,7 +136,7 @@
       credit = await region.request(vm);
     }
     expect(credit).toMatchObject({ kind: "used-up" });
-    const { readyInMs } = credit as Extract<Credit, { kind: "used-up" }>;
+    const { readyInMs } = credit as Extract<CreditOutcome, { kind: "used-up" }>;
     expect(readyInMs).toBeGreaterThan(0);
     expect(readyInMs).toBeLessThan(1_000);
   });
--- a/packages/daemon/src/gateway/accounts/credit_ledger.ts
+++ b/packages/daemon/src/gateway/accounts/credit_ledger.ts
@@ -9,11 +9,11 @@
   CreditBucket,
   type CreditLimit,
   creditLimit,
-  KEEPER_PARTS,
-  keepersOf,
-  partOf,
+  creditOwners,
+  OWNER_SHARES,
   type Quota,
   type QuotaBound,
+  scaleLimit,
 } from "@poplarthread/placement";
 import type { RankedMember } from "../vm_directory.ts";
 
@@ -61,12 +61,12 @@
     }
     const { bucket, limit } = owned;
     const isGranted = bucket.take(limit, now);
-    if (bucket.isShort(limit, now)) {
-      this.#options.onShortage(account, Math.ceil(limit.most));
+    if (bucket.isLow(limit, now)) {
+      this.#options.onShortage(account, Math.ceil(limit.maxCredit));
     }
     return isGranted
       ? { kind: "granted" }
-      : { kind: "used-up", readyInMs: bucket.promise(limit, now) };
+      : { kind: "used-up", readyInMs: bucket.scheduleRetry(limit, now) };
   }
 
   /** Lends credit to the credit owner of another region; returns the amount lent. */
@@ -84,7 +84,7 @@
     loan: { readonly lent: number; readonly now: number },
   ): void {
     const owned = this.#ownedBucket(account);
-    owned?.bucket.borrowed(owned.limit, loan);
+    owned?.bucket.addBorrowed(owned.limit, loan);
   }
 
   /** Drops the credit of accounts that no longer exist. */
@@ -118,17 +118,17 @@
     const { self, bound, regions } = this.#options;
     const quota = this.#options.quotaOf(account);
     const up = this.#options.upInRegion();
-    const owners = keepersOf(account, up);
+    const owners = creditOwners(account, up);
     const rank = owners.findIndex(({ vm }) => vm === self.vm);
     if (quota === undefined || rank < 0) {
       return undefined;
     }
-    const ownerShare = owners.length === 1 ? 1 : KEEPER_PARTS[rank]!;
+    const ownerShare = owners.length === 1 ? 1 : OWNER_SHARES[rank]!;
     // In a network partition the VMs on the other side may have credit owners of their
     // own, so this side uses only the share of the region's VMs that it sees as up.
     const upShare = up.length /
       Math.max(up.length, this.#options.knownInRegion());
     const share = ownerShare * upShare / regions;
-    return partOf(creditLimit(quota, bound), share);
+    return scaleLimit(creditLimit(quota, bound), share);
   }
 }
--- a/packages/daemon/src/gateway/attempt_report.ts
+++ b/packages/daemon/src/gateway/attempt_report.ts
@@ -11,8 +11,8 @@
 import type { ConnectionSource } from "./connections.ts";
 import type { CrashSuspects } from "./crash_suspects.ts";
 import type { EventLog } from "./events.ts";
-import type { LimitWord } from "./limit_news.ts";
-import type { TargetAnswer } from "./ports.ts";
+import type { LimitUpdate } from "./limit_updates.ts";
+import type { TargetResponse } from "./ports.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 import type { TargetAttempt, TargetAttemptEnd } from "./target_attempt.ts";
 
@@ -24,7 +24,7 @@
   readonly suspects: CrashSuspects;
   readonly log: EventLog;
   /** Called with the request limit that a target reported in a response, or lifted. */
-  limitReported(limit: LimitWord): void;
+  limitReported(limit: LimitUpdate): void;
 }
 
 /** How an attempt ended, and which request it belongs to. */
@@ -81,7 +81,7 @@
   end: TargetAttemptEnd,
 ): void {
   if (end.kind === "answered" || end.kind === "not-run") {
-    connections.giveBack(connection);
+    connections.release(connection);
   } else {
     connections.drop(connection);
   }
@@ -108,7 +108,7 @@
         warmth,
       }, times);
       if (isOtherTarget) {
-        steering.unreachable(target, now);
+        steering.markUnreachable(target, now);
       } else {
         handleNotices(services, target, { response: end.response, now });
       }
@@ -121,7 +121,7 @@
     case "unreachable":
       steering.ended(target, { kind: "abandoned" }, times);
       if (!(end.err instanceof NotSentError)) {
-        steering.unreachable(target, now);
+        steering.markUnreachable(target, now);
         suspects.targetCrashed(target, now);
       }
       return;
@@ -135,17 +135,20 @@
 function handleNotices(
   services: AttemptReportServices,
   target: TargetId,
-  { response, now }: { readonly response: TargetAnswer; readonly now: number },
+  { response, now }: {
+    readonly response: TargetResponse;
+    readonly now: number;
+  },
 ): void {
-  const { limitPerSecond: perSecond, isLeaving, restMs } = response;
+  const { limitPerSecond: perSecond, isLeaving, backOffMs: restMs } = response;
   if (perSecond !== undefined || liftsLimit(response)) {
     services.limitReported({ target, perSecond, at: now });
   }
   if (isLeaving) {
-    services.targets.saysLeaving(target);
+    services.targets.markLeaving(target);
   }
   if (restMs > 0) {
-    services.steering.rests(target, now + restMs);
+    services.steering.backOff(target, now + restMs);
     services.log.write("target asks for rest", {
       target,
       restMs: Math.round(restMs),
@@ -155,7 +158,7 @@
 
 /** Whether the response lifts the limit. Only a success does: an overloaded target may omit the header from its error responses. */
 function liftsLimit(
-  { status, isStamped, limitPerSecond }: TargetAnswer,
+  { status, isStamped, limitPerSecond }: TargetResponse,
 ): boolean {
   return isStamped && status < 300 && limitPerSecond === undefined;
 }
--- a/packages/daemon/src/gateway/caller_listener.ts
+++ b/packages/daemon/src/gateway/caller_listener.ts
@@ -26,9 +26,9 @@
   RouteIndex,
   type RoutingConfiguration,
 } from "./configuration.ts";
-import type { Credit } from "./accounts/credit_exchange.ts";
+import type { CreditOutcome } from "./accounts/credit_exchange.ts";
 import type { GatewayExchange } from "./exchange.ts";
-import { type OwnAnswerReason, sendLocalReply } from "./own_answer.ts";
+import { type LocalReplyReason, sendLocalReply } from "./local_reply.ts";
 import type { CallerRequest, Dialect } from "./ports.ts";
 import type { RequestPath } from "./request_path.ts";
 import type { ListenAddress } from "./settings.ts";
@@ -70,17 +70,20 @@
   readonly seed: string;
   readonly path: RequestPath;
   /** Whether the event loop is delayed, so that input is read long after it arrived. */
-  isLate(): boolean;
+  isLoopDelayed(): boolean;
   /** Whether this VM knows of every key revocation older than the allowed delay. */
   knowsRevocations(): boolean;
   /** Requests quota credit for one request of an account. */
-  requestCredit(account: AccountId, done: (credit: Credit) => void): void;
+  requestCredit(
+    account: AccountId,
+    done: (credit: CreditOutcome) => void,
+  ): void;
   /** Refunds the credit of a request that did not run. */
-  giveBackCredit(account: AccountId): void;
+  refundCredit(account: AccountId): void;
   /** Called for each local reply sent without an exchange; `request` is undefined if the input was malformed. */
-  refused(request: CallerRequest | undefined, reason: OwnAnswerReason): void;
+  refused(request: CallerRequest | undefined, reason: LocalReplyReason): void;
   /** Called when a connection could not be accepted. */
-  notAccepted(err: Error): void;
+  acceptFailed(err: Error): void;
 }
 
 /** A caller's connection and its open exchanges. */
@@ -131,7 +134,7 @@
       accounts: () => this.#compiled?.accounts,
       knowsRevocations: () => options.knowsRevocations(),
       requestCredit: (account, done) => options.requestCredit(account, done),
-      giveBackCredit: (account) => options.giveBackCredit(account),
+      refundCredit: (account) => options.refundCredit(account),
     });
   }
 
@@ -172,7 +175,7 @@
       { host, port, backlog: MAX_PENDING_CONNECTIONS },
       // If a connection cannot be accepted, for example for lack of file descriptors,
       // the others must survive; restarting this task would close them.
-      (err) => this.#options.notAccepted(err),
+      (err) => this.#options.acceptFailed(err),
     );
   }
 
@@ -198,7 +201,7 @@
   }
 
   /** Called when an exchange has ended. */
-  ended(exchange: GatewayExchange): void {
+  exchangeEnded(exchange: GatewayExchange): void {
     this.#openRequests -= 1;
     this.#connections.get(exchange.socket)?.exchanges.delete(exchange);
   }
@@ -330,7 +333,7 @@
     connection.exchanges.add(exchange);
     const isFirst = connection.latestExchange === undefined;
     connection.latestExchange = exchange;
-    if (isFirst || this.#options.isLate()) {
+    if (isFirst || this.#options.isLoopDelayed()) {
       startAfterPendingReads(exchange);
     } else {
       exchange.start();
--- a/packages/daemon/src/gateway/caller_response.ts
+++ b/packages/daemon/src/gateway/caller_response.ts
@@ -7,8 +7,8 @@
 
 import type { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
-import { type OwnAnswerReason, sendLocalReply } from "./own_answer.ts";
-import type { TargetAnswer } from "./ports.ts";
+import { type LocalReplyReason, sendLocalReply } from "./local_reply.ts";
+import type { TargetResponse } from "./ports.ts";
 
 /**
  * Whether a response should close the caller's connection. Called right before the
@@ -27,7 +27,7 @@
   }
 
   /** Writes the header of a target's response. Returns false if this connection cannot carry the response. */
-  writeHead(response: TargetAnswer): boolean {
+  writeHead(response: TargetResponse): boolean {
     // A response that ends with its connection may be truncated without notice. If
     // the gateway added a length or a last chunk, it would look complete to the
     // caller, so it is passed on without framing.
@@ -37,19 +37,19 @@
       return false;
     }
     const headers = ends
-      ? [...response.lines, "connection", "close"]
-      : response.lines;
+      ? [...response.rawHeaders, "connection", "close"]
+      : response.rawHeaders;
     this.#res.useChunkedEncodingByDefault = !isUnframed;
     this.#res.writeHead(response.status, headers);
     return true;
   }
 
   /** Sends a complete response. Returns false if this connection cannot carry it. */
-  sendComplete(response: TargetAnswer, body: Buffer): boolean {
+  sendComplete(response: TargetResponse, body: Buffer): boolean {
     const framed = response.isChunked
       ? {
         ...response,
-        lines: [...response.lines, "content-length", String(body.length)],
+        lines: [...response.rawHeaders, "content-length", String(body.length)],
       }
       : response;
     if (!this.writeHead(framed)) {
@@ -75,7 +75,7 @@
 
   /** Sends a local reply. */
   replyLocally(
-    reason: OwnAnswerReason,
+    reason: LocalReplyReason,
     { retryAfterMs, leavesBodyUnread }: {
       retryAfterMs: number | undefined;
       /** Whether the rest of the request body will stay unread. */
--- a/packages/daemon/src/gateway/configuration.ts
+++ b/packages/daemon/src/gateway/configuration.ts
@@ -20,7 +20,7 @@
   /** Longest time until the final response. */
   readonly timeoutMs: number;
   /** Latency objective: responses within this time are worth most to the caller. */
-  readonly aimMs: number;
+  readonly latencyObjectiveMs: number;
   /** Priority among waiting requests; 0 goes first. */
   readonly priority: number;
   /** Services that share the requests by weight; a single one without a traffic split. */
--- a/packages/daemon/src/gateway/connections.ts
+++ b/packages/daemon/src/gateway/connections.ts
@@ -52,7 +52,7 @@
     handler: Dispatcher.DispatchHandler,
   ): void;
   /** Whether the response that just ended was truncated by the end of the connection. */
-  wasCut(isChunked: boolean): boolean;
+  wasTruncated(isChunked: boolean): boolean;
   /** Resets the connection, so that the target stops its work. */
   destroy(): void;
 }
@@ -62,11 +62,11 @@
   /** Returns an idle connection or a new one. */
   take(target: ConnectionTarget): TargetConnection;
   /** Returns a connection to the pool after a complete response. */
-  giveBack(connection: TargetConnection): void;
+  release(connection: TargetConnection): void;
   /** Discards a connection whose request got no complete response. */
   drop(connection: TargetConnection): void;
   /** Removes a target that is gone, and closes its idle connections. */
-  forget(target: TargetId): void;
+  remove(target: TargetId): void;
 }
 
 /** A connection to a target; carries one request at a time. */
@@ -115,7 +115,7 @@
    * or before the last chunk; the caller would get a partial response that looks
    * complete.
    */
-  wasCut(isChunked: boolean): boolean {
+  wasTruncated(isChunked: boolean): boolean {
     return this.#wasReset || (isChunked && this.#hasEnded);
   }
 
@@ -239,7 +239,7 @@
    * connection. The connection is therefore reused only after an event-loop tick, when
    * such a close has been noticed.
    */
-  giveBack(connection: Connection): void {
+  release(connection: Connection): void {
     setImmediate(() => {
       if (!connection.isOpen || !this.#isTracked(connection)) {
         connection.destroy();
@@ -261,7 +261,7 @@
   }
 
   /** Removes a target that is gone: closes its idle connections now, and busy ones when they are returned. */
-  forget(id: TargetId): void {
+  remove(id: TargetId): void {
     for (const connection of this.#idle.get(id) ?? []) {
       connection.destroy();
     }
--- a/packages/daemon/src/gateway/crash_suspects.ts
+++ b/packages/daemon/src/gateway/crash_suspects.ts
@@ -73,7 +73,7 @@
   targetCrashed(target: TargetId, now: number): void {
     for (const [digest, brokeAt] of this.#recentFailures.get(target) ?? []) {
       if (now - brokeAt < CRASH_WINDOW_MS) {
-        this.heard({ digest, target }, now);
+        this.recordCrash({ digest, target }, now);
         this.#publish({ digest, target });
       }
     }
@@ -81,7 +81,7 @@
   }
 
   /** Records a crash that was detected by this VM or reported by another one. */
-  heard({ digest, target }: SuspectedCrash, now: number): void {
+  recordCrash({ digest, target }: SuspectedCrash, now: number): void {
     const targets = this.#crashes.get(digest) ?? new Map<TargetId, number>();
     this.#crashes.delete(digest);
     targets.set(target, now);
--- a/packages/daemon/src/gateway/crash_suspects_test.ts
+++ b/packages/daemon/src/gateway/crash_suspects_test.ts
@@ -17,7 +17,7 @@
     // takes down the service target by target.
     const vms: CrashSuspects[] = [];
     const publish = (crash: SuspectedCrash) =>
-      vms.forEach((vm) => vm.heard(crash, 0));
+      vms.forEach((vm) => vm.recordCrash(crash, 0));
     vms.push(new CrashSuspects(publish), new CrashSuspects(publish));
     const digest = vms[0]!.digestOf("GET", "/read/a", undefined);
     targets.forEach((target, index) => {
--- a/packages/daemon/src/gateway/emulation.ts
+++ b/packages/daemon/src/gateway/emulation.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-export { anonymous } from "./accounts/admission.ts";
+export { anonymousCaller } from "./accounts/admission.ts";
 export type {
   ConnectionSource,
   ConnectionTarget,
@@ -15,10 +15,10 @@
 export { EventLog } from "./events.ts";
 export type { GatewayExchange, GatewayExchangeEnd } from "./exchange.ts";
 export type {
-  AnnouncedTarget,
   CallerRequest,
   Dialect,
-  TargetAnswer,
+  RegisteredTarget,
+  TargetResponse,
 } from "./ports.ts";
 export {
   BUSY_TICK_MS,
--- a/packages/daemon/src/gateway/events.ts
+++ b/packages/daemon/src/gateway/events.ts
@@ -392,7 +392,7 @@
 
   /** Lines dropped because the reader of the log did not keep up. */
   get dropped(): number {
-    return this.#log.dropped;
+    return this.#log.droppedLines;
   }
 
   write<E extends EventName>(event: E, fields: EventFields<E>): void {
--- a/packages/daemon/src/gateway/exchange.ts
+++ b/packages/daemon/src/gateway/exchange.ts
@@ -30,8 +30,8 @@
   type ExchangeStep,
   phaseAfter,
 } from "./exchange_phase.ts";
-import type { OwnAnswerReason } from "./own_answer.ts";
-import type { CallerRequest, TargetAnswer } from "./ports.ts";
+import type { LocalReplyReason } from "./local_reply.ts";
+import type { CallerRequest, TargetResponse } from "./ports.ts";
 import type { Placeable, RequestQueue } from "./request_queue.ts";
 import { startAttempt, type StartAttemptServices } from "./start_attempt.ts";
 import type {
@@ -41,7 +41,7 @@
 } from "./target_attempt.ts";
 
 /** How an exchange ended, for logs and metrics. */
-export type GatewayExchangeEnd = "answered" | "caller-gone" | OwnAnswerReason;
+export type GatewayExchangeEnd = "answered" | "caller-gone" | LocalReplyReason;
 
 /** Dependencies of an exchange; one object is shared by all exchanges of a VM. */
 export interface GatewayExchangeServices
@@ -93,7 +93,7 @@
   readonly startedAt: number;
   readonly expiresAt: number;
   /** When the route's latency objective is missed. */
-  readonly aimAt: number;
+  readonly objectiveAt: number;
   readonly priority: number;
   /** Hash of the object that the request concerns; undefined if the route has no affinity. */
   readonly object: number | undefined;
@@ -110,7 +110,7 @@
   /** Whether the target of the current attempt was expected to hold the object in its cache. */
   #warmth: Warmth = "unknown";
   /** The latest error response of a target; sent to the caller if no retry succeeds. */
-  #failedResponse: { response: TargetAnswer; body: Buffer } | undefined;
+  #failedResponse: { response: TargetResponse; body: Buffer } | undefined;
   /** Digest by which repeats of the request are recognized. */
   #digest: string | undefined;
   #firstSentAt: number | undefined;
@@ -132,7 +132,7 @@
     this.version = options.version;
     this.startedAt = now;
     this.priority = options.caller.rank;
-    this.aimAt = now + route.aimMs;
+    this.objectiveAt = now + route.latencyObjectiveMs;
     const timeoutMs = request.deadlineMs === undefined
       ? route.timeoutMs
       : Math.min(request.deadlineMs - RESPONSE_TRANSIT_MS, route.timeoutMs);
@@ -184,7 +184,7 @@
         this.priority,
         this.startedAt,
       );
-      if (!RequestBody.announcedBy(this.request)) {
+      if (!RequestBody.isPresent(this.request)) {
         this.#bodyComplete();
         return;
       }
@@ -209,7 +209,7 @@
   bodyMalformed(): void {
     // A request without a body is complete, even if not started yet: the malformed
     // input follows it.
-    const hasBody = RequestBody.announcedBy(this.request);
+    const hasBody = RequestBody.isPresent(this.request);
     if (hasBody && this.#phase === "reading") {
       this.#guarded(() => this.#replyLocally("malformed"));
     }
@@ -249,7 +249,7 @@
     }
     return this.#guarded(() => {
       this.#attempts.writing();
-      this.#body?.markFlowing();
+      this.#body?.markSendStarted();
       this.#services.steering.written(attempt.target, now);
       return true;
     }) ?? false;
@@ -257,7 +257,7 @@
 
   attemptStreaming(
     attempt: TargetAttempt,
-    response: TargetAnswer,
+    response: TargetResponse,
     firstChunk: Buffer,
   ): boolean {
     if (this.#attempt !== attempt) {
@@ -303,7 +303,7 @@
     this.#digest = this.#services.suspects.digestOf(
       this.#req.method!,
       this.#req.url!,
-      this.#body?.whole,
+      this.#body?.buffered,
     );
     const heldMs = this.#services.suspects.heldBackMs(
       this.#digest,
@@ -313,7 +313,7 @@
       this.#replyLocally("refused-by-targets", heldMs);
       return;
     }
-    this.#options.caller.count((refusal) =>
+    this.#options.caller.chargeQuota((refusal) =>
       this.#guarded(() => this.#quotaChecked(refusal))
     );
   }
@@ -327,7 +327,7 @@
       this.#services.queue.add(this, performance.now());
     } else {
       // The caller disconnected while the quota was being checked.
-      this.#options.caller.uncount();
+      this.#options.caller.refundQuota();
     }
   }
 
@@ -348,7 +348,7 @@
       object: this.object,
       regions: this.#options.caller.regions,
       arrivedAt: this.startedAt,
-      answerBy: this.expiresAt,
+      deadlineAt: this.expiresAt,
       tried: this.#attempts.tried,
     }, { now, ahead });
     switch (decision.kind) {
@@ -408,7 +408,7 @@
     }
   }
 
-  #handleResponse(response: TargetAnswer, body: Buffer, now: number): void {
+  #handleResponse(response: TargetResponse, body: Buffer, now: number): void {
     if (this.#phase === "streaming") {
       this.#response.end();
       this.#transition("end");
@@ -439,7 +439,7 @@
     const isAllowed = this.#attempts.written < this.route.maxAttempts &&
       this.expiresAt - now > MIN_RETRY_TIME_MS &&
       (this.#body?.available ?? true) &&
-      steering.spendRetry(this.service, now);
+      steering.takeRetry(this.service, now);
     if (isAllowed) {
       this.#requeue(now);
     } else {
@@ -448,7 +448,7 @@
   }
 
   /** Stops trying: the caller gets the latest error response of a target, or a refusal. */
-  #giveUp(reason: OwnAnswerReason, retryAfterMs: number | undefined): void {
+  #giveUp(reason: LocalReplyReason, retryAfterMs: number | undefined): void {
     if (this.#failedResponse !== undefined) {
       this.#deliver(this.#failedResponse.response, this.#failedResponse.body);
     } else {
@@ -473,14 +473,14 @@
       request: this.request,
       method: this.#req.method!,
       url: this.#req.url!,
-      body: this.#body?.forAttempt ?? null,
+      body: this.#body?.content ?? null,
       leftMs: Math.max(1, Math.floor(this.expiresAt - now)),
       account: this.account,
       started: (attempt) => this.#attempt = attempt,
     });
   }
 
-  #deliver(response: TargetAnswer, body: Buffer): void {
+  #deliver(response: TargetResponse, body: Buffer): void {
     if (this.#phase === "done") {
       return;
     }
@@ -504,7 +504,7 @@
   }
 
   /** Refuses the request, which promises that it did not run; replies `broken` if it may have run. */
-  #refuse(reason: OwnAnswerReason, retryAfterMs: number | undefined): void {
+  #refuse(reason: LocalReplyReason, retryAfterMs: number | undefined): void {
     if (this.#attempts.mayHaveRun) {
       this.#replyLocally("broken");
     } else {
@@ -512,7 +512,7 @@
     }
   }
 
-  #replyLocally(reason: OwnAnswerReason, retryAfterMs?: number): void {
+  #replyLocally(reason: LocalReplyReason, retryAfterMs?: number): void {
     const isStreaming = this.#phase === "streaming";
     if (!this.#transition("end")) {
       return;
@@ -552,7 +552,7 @@
   /** Cleans up and reports the end, after the final response was written. */
   #finish(end: GatewayExchangeEnd): void {
     if (this.#isCountedForQuota && !this.#attempts.mayHaveRun) {
-      this.#options.caller.uncount();
+      this.#options.caller.refundQuota();
     }
     this.#services.wheel.delete(this);
     this.#services.queue.remove(this);
--- a/packages/daemon/src/gateway/exchange_harness.ts
+++ b/packages/daemon/src/gateway/exchange_harness.ts
@@ -14,7 +14,7 @@
 import {
   type AdmissionRefusal,
   type AdmittedCaller,
-  anonymous,
+  anonymousCaller,
 } from "./accounts/admission.ts";
 import { DeadlineWheel } from "../http/deadline_wheel.ts";
 import type { Log, LogFields } from "../log.ts";
@@ -23,7 +23,7 @@
 import { CrashSuspects } from "./crash_suspects.ts";
 import { EventLog } from "./events.ts";
 import { GatewayExchange, type GatewayExchangeEnd } from "./exchange.ts";
-import type { Dialect, TargetAnswer } from "./ports.ts";
+import type { Dialect, TargetResponse } from "./ports.ts";
 import { RequestQueue } from "./request_queue.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
@@ -116,7 +116,7 @@
   /** Why the caller is no longer admitted; undefined while it is. */
   refusal: AdmissionRefusal | undefined;
   /** Callback that ends the quota check; undefined until the check is requested. */
-  onCounted: Parameters<AdmittedCaller["count"]>[0] | undefined;
+  onCounted: Parameters<AdmittedCaller["chargeQuota"]>[0] | undefined;
   /** How often the request was uncounted. */
   uncounted = 0;
   /** If set, the steering throws this error instead of making a decision. */
@@ -156,16 +156,16 @@
         deadlineMs: undefined,
         object: undefined,
         credential: { kind: "none" },
-        lines: [],
+        rawHeaders: [],
         contentLength: 0,
         chunked: false,
       },
       route,
       caller: {
-        ...anonymous(route),
+        ...anonymousCaller(route),
         recheck: () => this.refusal,
-        count: (done) => this.onCounted = done,
-        uncount: () => this.uncounted += 1,
+        chargeQuota: (done) => this.onCounted = done,
+        refundQuota: () => this.uncounted += 1,
       },
       service: SERVICE,
       bodyBytes: 1_000,
@@ -203,9 +203,9 @@
       sent: noop,
       written: noop,
       ended: noop,
-      unreachable: noop,
+      markUnreachable: noop,
       roundTripTo: () => 1,
-      spendRetry: () => true,
+      takeRetry: () => true,
       place: () => this.#decide(),
     } as unknown as Steering;
   }
@@ -237,7 +237,7 @@
           attempt = new FakeAttempt(handler);
           this.attempts.push(attempt);
         },
-        wasCut: () => false,
+        wasTruncated: () => false,
         destroy: () => {
           if (attempt !== undefined) {
             attempt.isAborted = true;
@@ -246,7 +246,7 @@
       };
     };
     const noop = () => undefined;
-    return { take, giveBack: noop, drop: noop } as unknown as Connections;
+    return { take, release: noop, drop: noop } as unknown as Connections;
   }
 
   /** Throws on a second header, as Node's response does. */
@@ -292,7 +292,7 @@
     prefix: "/",
     repeat,
     timeoutMs: TIMEOUT_MS,
-    aimMs: 100,
+    latencyObjectiveMs: 100,
     priority: 0,
     split: [{ service: SERVICE, weight: 1 }],
     maxAttempts: 3,
@@ -304,20 +304,23 @@
 
 /** Reads a {@link FakeResponse} from JSON in the first raw header. */
 const DIALECT = {
-  attemptLines: () => [],
-  readAnswer: (status: number, raw: readonly Uint8Array[]): TargetAnswer => {
+  attemptHeaders: () => [],
+  readResponse: (
+    status: number,
+    raw: readonly Uint8Array[],
+  ): TargetResponse => {
     const fake = JSON.parse(String(raw[0])) as FakeResponse;
     return {
       status,
-      lines: [],
+      rawHeaders: [],
       contentLength: fake.isUnframed ? -1 : 4,
       isChunked: false,
       requestId: REQUEST_ID,
       isStamped: true,
-      notRun: fake.notRun ?? false,
+      isNotRun: fake.notRun ?? false,
       isOtherTarget: false,
       isLeaving: false,
-      restMs: 0,
+      backOffMs: 0,
       limitPerSecond: undefined,
       load: undefined,
     };
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -24,7 +24,7 @@
 import { LoopDelay } from "./loop_delay.ts";
 import { MetricsListener } from "./metrics_listener.ts";
 import { PeerBeacon } from "./peer_beacon.ts";
-import type { Heartbeat, ZoneReport } from "./peer_words.ts";
+import type { Heartbeat, ZoneReport } from "./peer_messages.ts";
 import { type FeedEvent, PlatformFeed } from "./platform_feed.ts";
 import type { Dialect, Member, PlatformPort, WatchedSubject } from "./ports.ts";
 import { RelayListener } from "./relay.ts";
@@ -130,7 +130,8 @@
     this.#connections = new Connections({
       localAddress: listen.callers.host,
       listener: {
-        connected: (target, ms) => this.#requestPath.connected(target, ms),
+        connected: (target, ms) =>
+          this.#requestPath.recordConnectTime(target, ms),
       },
     });
     this.#requestPath = this.#createRequestPath(settings);
@@ -152,22 +153,22 @@
     this.#beacon = new PeerBeacon({
       listen: listen.peers,
       seeds: () => this.#hasMembers ? [] : settings.seeds,
-      near: () => this.#vms.near(),
-      far: () => this.#vms.far(performance.now()),
-      reports: () => this.#vms.reports(performance.now()),
-      spokenTo: () => this.#vms.spokenTo(performance.now()),
+      zonePeers: () => this.#vms.zonePeers(),
+      reportRecipients: () => this.#vms.reportRecipients(performance.now()),
+      isZoneDelegate: () => this.#vms.isZoneDelegate(performance.now()),
+      warmRecipients: () => this.#vms.warmRecipients(performance.now()),
       warmPairs: () => this.#requestPath.steering.warmPairs(performance.now()),
-      heardWarm: (pairs) => this.#onWarmPairs(pairs),
-      heardLimits: (updates) =>
-        updates.forEach((update) => this.#requestPath.heardLimit(update)),
-      sightings: () => this.#vms.sightings(performance.now()),
-      ownWord: () => ({
+      warmReceived: (pairs) => this.#onWarmPairs(pairs),
+      limitsReceived: (updates) =>
+        updates.forEach((update) => this.#requestPath.applyPeerLimit(update)),
+      zoneVmStatuses: () => this.#vms.zoneVmStatuses(performance.now()),
+      localState: () => ({
         member: this.#self,
         isLeaving: this.#leaving,
         seen: this.#feed.seen,
       }),
-      heard: (heartbeat) => this.#onHeartbeat(heartbeat),
-      reported: (report) => this.#onZoneReport(report),
+      heartbeatReceived: (heartbeat) => this.#onHeartbeat(heartbeat),
+      zoneReportReceived: (report) => this.#onZoneReport(report),
     });
     this.#feed = new PlatformFeed({
       platform: ports.platform,
@@ -185,7 +186,7 @@
     });
     this.#requestPath.steering.setVms(this.#vms.up(performance.now()));
     this.#feed.start(this.#self);
-    this.#timer.dueIn(BUSY_TICK_MS);
+    this.#timer.scheduleWithin(BUSY_TICK_MS);
     this.#log.write("started", {});
   }
 
@@ -226,20 +227,21 @@
     return new RequestPath({
       steering: new Steering({
         vm,
-        place: { zone, region },
+        location: { zone, region },
         retries: bounds.retries,
-        warmed: (pair) => this.#beacon.send({ kind: "warmed", pair }),
+        onWarmPair: (pair) => this.#beacon.send({ kind: "warmed", pair }),
       }),
       zones,
       dialect: this.#dialect,
       log: this.#log,
       connections: this.#connections,
       targetChanged: (_target, change) =>
-        this.#metrics.beliefChanged(`target-${change}`),
-      targetSilent: () => this.#metrics.beliefChanged("target-silent"),
+        this.#metrics.stateChanged(`target-${change}`),
+      targetUnresponsive: () => this.#metrics.stateChanged("target-silent"),
       probe: (target) => this.#probe(target),
-      hurry: () => this.#timer.dueIn(BUSY_TICK_MS),
-      publishLimit: (word) => this.#beacon.send({ kind: "limit", word }),
+      requestQueued: () => this.#timer.scheduleWithin(BUSY_TICK_MS),
+      publishLimit: (word) =>
+        this.#beacon.send({ kind: "limit", update: word }),
       publishCrash: (crash) => this.#beacon.send({ kind: "crash", crash }),
       ended: (exchange, end) => this.#onRequestEnd(exchange, end),
       attemptEnded: (end) => this.#metrics.attemptEnded(end),
@@ -252,12 +254,12 @@
       dialect: this.#dialect,
       seed: this.#settings.vm,
       path: this.#requestPath,
-      isLate: () => this.#loopDelay.isLate(performance.now()),
+      isLoopDelayed: () => this.#loopDelay.isDelayed(performance.now()),
       knowsRevocations: () => this.#accounts.knowsRevocations(),
       requestCredit: (account, done) =>
         this.#accounts.requestCredit(account, done),
-      giveBackCredit: (account) => this.#accounts.refundCredit(account),
-      notAccepted: (err) =>
+      refundCredit: (account) => this.#accounts.refundCredit(account),
+      acceptFailed: (err) =>
         this.#log.write("connection not accepted", { reason: messageOf(err) }),
       refused: (request, reason) => {
         this.#metrics.requestRefused(reason);
@@ -294,7 +296,7 @@
     });
     const relay = new RelayListener({
       listen: this.#settings.listen.peers,
-      news: (subject, query) => this.#feed.news(subject, query),
+      handler: (subject, query) => this.#feed.changesAfter(subject, query),
     });
     [
       this.#beacon,
@@ -320,7 +322,7 @@
       this.#idleTick(now);
     }
     const nextMs = this.#requestPath.tick(now);
-    this.#loopDelay.ticked(now, nextMs);
+    this.#loopDelay.recordTick(now, nextMs);
     return nextMs;
   }
 
@@ -347,7 +349,7 @@
         if (health.isHealthy && isSameTarget) {
           // The target may have restarted since; its entry in the store shows that only later.
           const coldMs = health.coldMs;
-          steering.probeAnswered(id, { now: performance.now(), coldMs });
+          steering.probeSucceeded(id, { now: performance.now(), coldMs });
           this.#log.write("target answers again", { target: id });
         }
       },
@@ -357,12 +359,12 @@
   }
 
   #onRequestEnd(exchange: GatewayExchange, end: GatewayExchangeEnd): void {
-    this.#callerListener.ended(exchange);
+    this.#callerListener.exchangeEnded(exchange);
     const now = performance.now();
     const seconds = (now - exchange.startedAt) / 1_000;
     const { priority } = exchange.route;
     this.#metrics.requestEnded(end, { priority, seconds });
-    this.#requestLog.ended(exchange, end, {
+    this.#requestLog.requestEnded(exchange, end, {
       now,
       newsMs: this.#feed.ageOf("targets"),
       accountsMs: Math.round(this.#accounts.ageMs),
@@ -372,7 +374,7 @@
   #onHeartbeat(heartbeat: Heartbeat): void {
     const { member, isLeaving, seen, crashes } = heartbeat;
     const now = performance.now();
-    if (this.#vms.heard(member, { now, isLeaving })) {
+    if (this.#vms.recordHeartbeat(member, { now, isLeaving })) {
       this.#beacon.send({ kind: "greet", member });
     }
     this.#publishVmChanges(now);
@@ -383,7 +385,7 @@
   #publishVmChanges(now: number): void {
     const changes = this.#vmChanges.take();
     for (const { change, instances } of changes) {
-      this.#metrics.beliefChanged(`peer-${change}`, instances.length);
+      this.#metrics.stateChanged(`peer-${change}`, instances.length);
       this.#log.write(`peer ${change}`, { peer: instances.join(" ") });
     }
     if (changes.length > 0) {
@@ -394,7 +396,7 @@
   #onWarmPairs(pairs: readonly HashedPair[]): void {
     const now = performance.now();
     for (const { object, target } of pairs) {
-      this.#requestPath.steering.heardWarm({ object, target }, now);
+      this.#requestPath.steering.addWarmPair({ object, target }, now);
     }
   }
 
@@ -403,7 +405,7 @@
     for (const [name, ageMs] of Object.entries(ages)) {
       const vm = name as VmId;
       const isLeaving = leaving.includes(vm);
-      this.#vms.sighted({ vm, ageMs, isLeaving }, now);
+      this.#vms.recordStatus({ vm, ageMs, isLeaving }, now);
     }
     this.#publishVmChanges(now);
     this.#applyUpdates({ seen, crashes }, now);
@@ -414,7 +416,7 @@
     now: number,
   ): void {
     for (const crash of crashes) {
-      this.#requestPath.suspects.heard(crash, now);
+      this.#requestPath.suspects.recordCrash(crash, now);
     }
     for (const [subject, version] of Object.entries(seen)) {
       this.#feed.hint(subject as WatchedSubject, version);
@@ -432,19 +434,19 @@
         this.#log.write("configuration not used", { reason: event.reason });
         return;
       case "evacuations":
-        this.#requestPath.evacuate(event.zones, now);
+        this.#requestPath.setEvacuatedZones(event.zones, now);
         return;
       case "targets":
         this.#hasTargets = true;
-        this.#requestPath.listed(event.targets, now);
+        this.#requestPath.updateTargets(event.targets, now);
         return;
       case "members":
-        this.#vms.listed(event.members, now);
+        this.#vms.addRegistered(event.members, now);
         this.#announceOnFirstList();
         return;
       case "contact":
         if (event.subject === "targets") {
-          this.#requestPath.targets.contact(event.isLost, now);
+          this.#requestPath.targets.connectivityChanged(event.isLost, now);
         }
         this.#logConnectivity(event);
         return;
--- a/packages/daemon/src/gateway/gateway_metrics.ts
+++ b/packages/daemon/src/gateway/gateway_metrics.ts
@@ -128,7 +128,7 @@
   }
 
   /** Counts `count` state changes of one kind, of targets or peers. */
-  beliefChanged(change: string, count = 1): void {
+  stateChanged(change: string, count = 1): void {
     this.#stateChanges.inc({ change }, count);
   }
 
--- a/packages/daemon/src/gateway/health_prober.ts
+++ b/packages/daemon/src/gateway/health_prober.ts
@@ -10,7 +10,7 @@
 import type { Dispatcher } from "undici";
 import { ProbeTimeoutError } from "../errors.ts";
 import type { Connections, ConnectionTarget } from "./connections.ts";
-import type { Dialect, HealthAnswer } from "./ports.ts";
+import type { Dialect, HealthResponse } from "./ports.ts";
 
 /** Response timeout of a probe beyond two round trips. A probe waits for a slot of the target like any request. */
 const RESPONSE_TIMEOUT_MS = 900;
@@ -30,10 +30,10 @@
   }
 
   /** Probes one target; rejects if it does not respond. */
-  probe(target: ConnectionTarget, path: string): Promise<HealthAnswer> {
+  probe(target: ConnectionTarget, path: string): Promise<HealthResponse> {
     const { connections, dialect } = this.#options;
     const connection = connections.create(target);
-    return new Promise<HealthAnswer>((resolve, reject) => {
+    return new Promise<HealthResponse>((resolve, reject) => {
       const timer = setTimeout(
         () => reject(new ProbeTimeoutError("health probe timed out")),
         RESPONSE_TIMEOUT_MS + 2 * target.roundTripMs,
@@ -42,11 +42,11 @@
         onConnect: () => undefined,
         onHeaders: (status, raw) => {
           clearTimeout(timer);
-          resolve(dialect.readHealth(status, raw));
+          resolve(dialect.readHealthResponse(status, raw));
           return true;
         },
         onData: () => true,
-        onComplete: () => connections.giveBack(connection),
+        onComplete: () => connections.release(connection),
         onError: (err) => {
           clearTimeout(timer);
           reject(err);
--- a/packages/daemon/src/gateway/limit_news.ts
+++ b/packages/daemon/src/gateway/limit_updates.ts
@@ -10,7 +10,7 @@
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import type { NamedLimit } from "@poplarthread/placement";
+import type { ReportedLimit } from "@poplarthread/placement";
 import * as z from "zod";
 
 /** Interval at which pending updates are sent. */
@@ -32,7 +32,7 @@
 const paramsSchema = z.object({ limits: z.array(updateSchema) });
 
 /** A target's limit, as stated in one of its responses. */
-export interface LimitWord extends NamedLimit {
+export interface LimitUpdate extends ReportedLimit {
   readonly target: TargetId;
 }
 
@@ -40,7 +40,7 @@
 export class LimitUpdates {
   readonly #pending = new Map<
     TargetId,
-    { update: LimitWord; remaining: number }
+    { update: LimitUpdate; remaining: number }
   >();
 
   get isEmpty(): boolean {
@@ -48,7 +48,7 @@
   }
 
   /** Adds an update; it replaces the pending one of the same target. */
-  add(update: LimitWord): void {
+  add(update: LimitUpdate): void {
     this.#pending.delete(update.target);
     this.#pending.set(update.target, { update, remaining: SENDS_PER_UPDATE });
     if (this.#pending.size > MAX_PENDING) {
@@ -74,7 +74,7 @@
 export function decodeLimits(
   params: unknown,
   now: number,
-): readonly LimitWord[] | undefined {
+): readonly LimitUpdate[] | undefined {
   const { data } = paramsSchema.safeParse(params);
   return data?.limits.map(({ target, perSecond, ageMs }) => ({
     target: target as TargetId,
@@ -84,7 +84,7 @@
 }
 
 function encodeLimits(
-  updates: readonly LimitWord[],
+  updates: readonly LimitUpdate[],
   now: number,
 ): readonly object[] {
   const datagrams: object[] = [];
--- a/packages/daemon/src/gateway/own_answer.ts
+++ b/packages/daemon/src/gateway/local_reply.ts
@@ -7,7 +7,7 @@
 import type { ServerResponse } from "node:http";
 
 /** Why a request gets a local reply. */
-export type OwnAnswerReason =
+export type LocalReplyReason =
   /** This VM knows no configuration yet. */
   | "not-ready"
   /** The request has no key, or one that belongs to no account. */
@@ -39,7 +39,7 @@
  * HTTP status codes. 503, 429 and 408 promise that the request has not run and never
  * will; 502 and 504 promise nothing.
  */
-const STATUS_CODES: Readonly<Record<OwnAnswerReason, number>> = {
+const STATUS_CODES: Readonly<Record<LocalReplyReason, number>> = {
   "not-ready": 503,
   "unauthenticated": 401,
   "not-allowed": 403,
@@ -58,14 +58,14 @@
 };
 
 /** The HTTP status code of a local reply. */
-export function statusOf(reason: OwnAnswerReason): number {
+export function statusOf(reason: LocalReplyReason): number {
   return STATUS_CODES[reason];
 }
 
 /** Sends a local reply; `closesConnection` if it is the last on the caller's connection. */
 export function sendLocalReply(
   res: ServerResponse,
-  reason: OwnAnswerReason,
+  reason: LocalReplyReason,
   options: { retryAfterMs: number | undefined; closesConnection: boolean },
 ): void {
   const headers = ["content-length", "0"];
--- a/packages/daemon/src/gateway/lookup_listener.ts
+++ b/packages/daemon/src/gateway/lookup_listener.ts
@@ -13,7 +13,7 @@
 } from "node:http";
 import { listen } from "../listen.ts";
 import { Task } from "../task.ts";
-import type { Dialect, LookupQuestion } from "./ports.ts";
+import type { Dialect, LookupRequest } from "./ports.ts";
 import type { ListenAddress } from "./settings.ts";
 
 /** Options of the listener. */
@@ -22,7 +22,7 @@
   readonly dialect: Dialect;
   /** Returns the caller addresses of the VMs to use, and how long the response may be cached. */
   lookup(
-    query: LookupQuestion,
+    query: LookupRequest,
   ): { readonly addresses: readonly string[]; readonly ttlMs: number };
   /** Whether this VM is ready to serve callers. */
   isReady(): boolean;
@@ -58,7 +58,7 @@
   #handleRequest(req: IncomingMessage, res: ServerResponse): void {
     const { dialect } = this.#options;
     const url = req.url ?? "";
-    if (dialect.isReadinessQuestion(url)) {
+    if (dialect.isReadinessRequest(url)) {
       res.writeHead(this.#options.isReady() ? 200 : 503, [
         "content-length",
         "0",
--- a/packages/daemon/src/gateway/loop_delay.ts
+++ b/packages/daemon/src/gateway/loop_delay.ts
@@ -23,13 +23,13 @@
   }
 
   /** Records a tick; the next one is due in `nextMs`. */
-  ticked(now: number, nextMs: number): void {
+  recordTick(now: number, nextMs: number): void {
     this.#lateMs = now - this.#dueAt;
     this.#dueAt = now + nextMs;
   }
 
   /** Whether the last tick was late or the next one is overdue. */
-  isLate(now: number): boolean {
+  isDelayed(now: number): boolean {
     return Math.max(this.#lateMs, now - this.#dueAt) > LATE_THRESHOLD_MS;
   }
 }
--- a/packages/daemon/src/gateway/mod.ts
+++ b/packages/daemon/src/gateway/mod.ts
@@ -14,19 +14,19 @@
 } from "./configuration.ts";
 export { type Gateway, type GatewayPorts, startGateway } from "./gateway.ts";
 export type {
-  AnnouncedTarget,
   CallerRequest,
-  ChangesQuestion,
+  ChangesRequest,
   Dialect,
-  HealthAnswer,
-  LookupQuestion,
+  HealthResponse,
+  LookupRequest,
   MalformedRequest,
   Member,
   PlatformEvent,
   PlatformPort,
+  RegisteredTarget,
   RowsPage,
   StoredRow,
-  TargetAnswer,
+  TargetResponse,
   WatchedSubject,
 } from "./ports.ts";
 export { HistoryGoneError } from "./ports.ts";
@@ -39,4 +39,7 @@
 export { createLog, type Log } from "../log.ts";
 export { messageOf } from "../errors.ts";
 export { callJson, type JsonCall } from "../json_call.ts";
-export { dropNamed, HOP_BY_HOP } from "../http/connection_lines.ts";
+export {
+  dropConnectionHeaders,
+  HOP_BY_HOP_HEADERS,
+} from "../http/hop_by_hop.ts";
--- a/packages/daemon/src/gateway/peer_beacon.ts
+++ b/packages/daemon/src/gateway/peer_beacon.ts
@@ -20,9 +20,9 @@
 import {
   decodeLimits,
   LIMIT_UPDATE_INTERVAL_MS,
+  type LimitUpdate,
   LimitUpdates,
-  type LimitWord,
-} from "./limit_news.ts";
+} from "./limit_updates.ts";
 import {
   encodeNotification,
   hasCommonFields,
@@ -31,7 +31,7 @@
   isWarmUpdate,
   isZoneReport,
   type ZoneReport,
-} from "./peer_words.ts";
+} from "./peer_messages.ts";
 import type { Member } from "./ports.ts";
 import type { ListenAddress } from "./settings.ts";
 import type { VmStatus } from "./vm_directory.ts";
@@ -96,7 +96,7 @@
   /** Another VM of the zone has seen a crash; reported to other zones if this VM is a delegate. */
   | { readonly kind: "pass-on"; readonly crash: SuspectedCrash }
   /** A target has set, changed or lifted its limit; published to all VMs soon. */
-  | { readonly kind: "limit"; readonly word: LimitWord }
+  | { readonly kind: "limit"; readonly update: LimitUpdate }
   /** Publishes pending limit updates. */
   | { readonly kind: "publish-limits" };
 
@@ -106,23 +106,23 @@
   /** Addresses, `host:port`, to contact besides the known peers. Empty once peers are known, since all VMs have the same few. */
   seeds(): readonly string[];
   /** Other VMs of the zone. */
-  near(): readonly Member[];
+  zonePeers(): readonly Member[];
   /** VMs of other zones to which this VM sends zone reports; none if it is not a delegate. */
-  far(): readonly Member[];
+  reportRecipients(): readonly Member[];
   /** Whether this VM is a delegate of its zone. */
-  reports(): boolean;
+  isZoneDelegate(): boolean;
   /** VMs of the region's other zones, if this VM sends them the warm-target updates of its zone; otherwise none. */
-  spokenTo(): readonly Member[];
+  warmRecipients(): readonly Member[];
   /** Pairs known to be warm, the most recently used ones last. */
   warmPairs(): readonly HashedPair[];
-  heardWarm(pairs: readonly HashedPair[]): void;
-  heardLimits(updates: readonly LimitWord[]): void;
+  warmReceived(pairs: readonly HashedPair[]): void;
+  limitsReceived(updates: readonly LimitUpdate[]): void;
   /** VMs of the zone that are up or leaving, including this one. */
-  sightings(): readonly VmStatus[];
+  zoneVmStatuses(): readonly VmStatus[];
   /** Contents of this VM's heartbeat, except crashes. */
-  ownWord(): Omit<Heartbeat, "crashes">;
-  heard(heartbeat: Heartbeat): void;
-  reported(report: ZoneReport): void;
+  localState(): Omit<Heartbeat, "crashes">;
+  heartbeatReceived(heartbeat: Heartbeat): void;
+  zoneReportReceived(report: ZoneReport): void;
 }
 
 /** See the module's comment. */
@@ -161,7 +161,7 @@
       socket.bind(port, host, () => {
         socket.off("error", reject);
         socket.on("error", (err) => this.fail(err));
-        this.every(HEARTBEAT_MS, { kind: "heartbeat" });
+        this.sendEvery(HEARTBEAT_MS, { kind: "heartbeat" });
         resolve();
       });
     });
@@ -175,7 +175,7 @@
   protected override receive(message: PeerBeaconMessage): void {
     switch (message.kind) {
       case "beat":
-        this.#beat(this.#options.far());
+        this.#beat(this.#options.reportRecipients());
         return;
       case "heartbeat":
         this.#beat(this.#dueReportRecipients());
@@ -185,7 +185,7 @@
         return;
       case "crash":
         this.#localCrashes.add(message.crash);
-        this.#beat(this.#options.far());
+        this.#beat(this.#options.reportRecipients());
         return;
       case "pass-on":
         this.#forwardedCrashes.add(message.crash);
@@ -205,8 +205,8 @@
         this.#publishWarmToRegion(performance.now());
         return;
       case "limit":
-        this.#zoneLimits.add(message.word);
-        this.#otherZoneLimits.add(message.word);
+        this.#zoneLimits.add(message.update);
+        this.#otherZoneLimits.add(message.update);
         this.#schedule("publish-limits", LIMIT_UPDATE_INTERVAL_MS);
         return;
       case "publish-limits":
@@ -220,12 +220,12 @@
     this.#sendLimits(
       "limits",
       this.#zoneLimits.take(now),
-      this.#options.near(),
+      this.#options.zonePeers(),
     );
     this.#sendLimits(
       "zone-limits",
       this.#otherZoneLimits.take(now),
-      this.#options.far(),
+      this.#options.reportRecipients(),
     );
     if (!this.#zoneLimits.isEmpty || !this.#otherZoneLimits.isEmpty) {
       this.#schedule("publish-limits", LIMIT_UPDATE_INTERVAL_MS);
@@ -248,8 +248,8 @@
     if (updates === undefined) {
       return;
     }
-    this.#options.heardLimits(updates);
-    if (method === "limits" && this.#options.reports()) {
+    this.#options.limitsReceived(updates);
+    if (method === "limits" && this.#options.isZoneDelegate()) {
       updates.forEach((update) => this.#otherZoneLimits.add(update));
       this.#schedule("publish-limits", LIMIT_UPDATE_INTERVAL_MS);
     }
@@ -259,12 +259,12 @@
   #schedule(kind: WarmPublication | "publish-limits", ms: number): void {
     if (!this.#scheduled.has(kind)) {
       this.#scheduled.add(kind);
-      this.after(ms, { kind });
+      this.sendAfter(ms, { kind });
     }
   }
 
   #publishWarmToZone(now: number): void {
-    const recipients = this.#options.near();
+    const recipients = this.#options.zonePeers();
     const waitMs = this.#zonePublishedAt +
       recipients.length * ZONE_WARM_INTERVAL_PER_VM_MS - now;
     if (waitMs > 0) {
@@ -276,7 +276,7 @@
   }
 
   #publishWarmToRegion(now: number): void {
-    const recipients = this.#options.spokenTo();
+    const recipients = this.#options.warmRecipients();
     const intervalMs = recipients.length === 0
       ? DELEGATE_CHECK_MS
       : recipients.length * REGION_WARM_INTERVAL_PER_VM_MS;
@@ -296,7 +296,7 @@
    */
   #greet({ peerAddress }: Member): void {
     this.#send(this.#heartbeat(), [peerAddress]);
-    if (!this.#options.reports()) {
+    if (!this.#options.isZoneDelegate()) {
       return;
     }
     const newest = this.#options.warmPairs().slice(-MAX_GREETING_PAIRS);
@@ -318,7 +318,7 @@
 
   #receiveWarm(method: WarmMethod, text: string): void {
     const pairs = decodePairs(text);
-    this.#options.heardWarm(pairs);
+    this.#options.warmReceived(pairs);
     if (method === "warm") {
       pairs.forEach((pair) => this.#regionWarm.add(pair));
       this.#schedule("publish-warm-to-region", REGION_WARM_INTERVAL_MS);
@@ -327,21 +327,21 @@
 
   /** VMs of other zones that get a zone report with the next scheduled heartbeat. */
   #dueReportRecipients(): readonly Member[] {
-    const recipients = this.#options.far();
+    const recipients = this.#options.reportRecipients();
     this.#heartbeatsToRemoteReport -= 1;
     if (this.#heartbeatsToRemoteReport <= 0) {
       this.#heartbeatsToRemoteReport = HEARTBEATS_PER_REMOTE_REPORT;
       return recipients;
     }
-    const { region } = this.#options.ownWord().member;
+    const { region } = this.#options.localState().member;
     return recipients.filter((member) => member.region === region);
   }
 
   /** Sends a heartbeat to the zone, and zone reports to `recipients` of other zones. */
   #beat(recipients: readonly Member[]): void {
-    const zonePeers = addressesOf(this.#options.near());
+    const zonePeers = addressesOf(this.#options.zonePeers());
     const otherZones = addressesOf(recipients);
-    const state = this.#options.ownWord();
+    const state = this.#options.localState();
     const addresses = new Set([...zonePeers, ...this.#options.seeds()]);
     addresses.delete(state.member.peerAddress);
     this.#send(this.#heartbeat(state), [...addresses]);
@@ -352,7 +352,7 @@
     }
   }
 
-  #heartbeat(state = this.#options.ownWord()): Buffer {
+  #heartbeat(state = this.#options.localState()): Buffer {
     const params: Heartbeat = {
       ...state,
       crashes: this.#localCrashes.current(),
@@ -366,7 +366,7 @@
       ...this.#forwardedCrashes.current(),
     ]
       .slice(-MAX_CRASHES_PER_ZONE_REPORT);
-    const statuses = this.#options.sightings();
+    const statuses = this.#options.zoneVmStatuses();
     const reports: Buffer[] = [];
     for (let at = 0; at < statuses.length; at += MAX_VMS_PER_REPORT) {
       const vms = statuses.slice(at, at + MAX_VMS_PER_REPORT);
@@ -410,9 +410,9 @@
       return;
     }
     if (method === "heartbeat" && isHeartbeat(params)) {
-      this.#options.heard(params);
+      this.#options.heartbeatReceived(params);
     } else if (method === "zone" && isZoneReport(params)) {
-      this.#options.reported(params);
+      this.#options.zoneReportReceived(params);
     }
   }
 }
--- a/packages/daemon/src/gateway/peer_beacon_test.ts
+++ b/packages/daemon/src/gateway/peer_beacon_test.ts
@@ -9,15 +9,15 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from "vitest";
 import type { RegionId, TargetId, VmId } from "@poplarthread/ids";
 import type { HashedPair } from "@poplarthread/placement";
-import { ownAddress } from "../loopback.ts";
-import type { LimitWord } from "./limit_news.ts";
+import { loopbackAddress } from "../loopback.ts";
+import type { LimitUpdate } from "./limit_updates.ts";
 import { PeerBeacon } from "./peer_beacon.ts";
-import type { Heartbeat, ZoneReport } from "./peer_words.ts";
+import type { Heartbeat, ZoneReport } from "./peer_messages.ts";
 import type { Member } from "./ports.ts";
 import { memberNamed } from "./testing.ts";
 import { decodePairs, encodePairs } from "./warm_updates.ts";
 
-const HOST = ownAddress(78);
+const HOST = loopbackAddress(78);
 const PORTS = { self: 17_720, near: 17_721, far: 17_722 };
 
 let beacon: PeerBeacon;
@@ -32,7 +32,7 @@
 /** Warm pairs that the beacon received. */
 let receivedWarm: HashedPair[];
 /** Limit updates that the beacon received. */
-let receivedLimits: LimitWord[];
+let receivedLimits: LimitUpdate[];
 let isDelegate: boolean;
 let zonePeers: readonly Member[];
 let farMember: Member;
@@ -78,26 +78,26 @@
   beacon = new PeerBeacon({
     listen: { host: HOST, port: PORTS.self },
     seeds: () => [],
-    near: () => zonePeers,
-    far: () => isDelegate ? [farMember] : [],
-    reports: () => isDelegate,
-    spokenTo: () => isDelegate ? [member("vm-3", PORTS.far)] : [],
+    zonePeers: () => zonePeers,
+    reportRecipients: () => isDelegate ? [farMember] : [],
+    isZoneDelegate: () => isDelegate,
+    warmRecipients: () => isDelegate ? [member("vm-3", PORTS.far)] : [],
     warmPairs: () => Array.from({ length: 2_000 }, (_, at) => pair(at)),
-    heardWarm: (pairs) => receivedWarm.push(...pairs),
-    heardLimits: (updates) => receivedLimits.push(...updates),
-    sightings: () =>
+    warmReceived: (pairs) => receivedWarm.push(...pairs),
+    limitsReceived: (updates) => receivedLimits.push(...updates),
+    zoneVmStatuses: () =>
       Array.from({ length: 45 }, (_, at) => ({
         vm: `front-tbilisi-saburtalo-${at}` as VmId,
         ageMs: 1_000,
         isLeaving: false,
       })),
-    ownWord: () => ({
+    localState: () => ({
       member: member("vm-1", PORTS.self),
       isLeaving: false,
       seen: { operator: 1, targets: 2, members: 3 },
     }),
-    heard: () => undefined,
-    reported: () => undefined,
+    heartbeatReceived: () => undefined,
+    zoneReportReceived: () => undefined,
   });
   await beacon.start({ failed: () => undefined });
 });
@@ -243,14 +243,14 @@
 });
 
 describe("a limit update", () => {
-  const UPDATE: LimitWord = {
+  const UPDATE: LimitUpdate = {
     target: "t-1" as TargetId,
     perSecond: 2.5,
     at: 0,
   };
 
   test("is sent three times to the zone, and by delegates to other zones", async () => {
-    beacon.send({ kind: "limit", word: UPDATE });
+    beacon.send({ kind: "limit", update: UPDATE });
     for (let time = 0; time < 5; time++) {
       beacon.send({ kind: "publish-limits" });
     }
--- a/packages/daemon/src/gateway/platform_feed.ts
+++ b/packages/daemon/src/gateway/platform_feed.ts
@@ -90,7 +90,7 @@
   }
 
   /** Response to a peer's request for changes; undefined if nothing was read yet. */
-  news(
+  changesAfter(
     subject: WatchedSubject,
     request: RelayRequest,
   ): Promise<RelayResponse | undefined> {
@@ -131,7 +131,7 @@
     const { signal } = this.#closed;
     while (!signal.aborted) {
       try {
-        await this.#options.platform.announce(self);
+        await this.#options.platform.register(self);
         return;
       } catch (err) {
         this.#options.log.write("own row not written", {
--- a/packages/daemon/src/gateway/ports.ts
+++ b/packages/daemon/src/gateway/ports.ts
@@ -19,7 +19,7 @@
 import type { RoutingConfiguration } from "./configuration.ts";
 
 /** A target as it registers itself in the platform's store. */
-export interface AnnouncedTarget {
+export interface RegisteredTarget {
   readonly id: TargetId;
   readonly service: ServiceId;
   /** `host:port`. */
@@ -69,7 +69,7 @@
   /** All targets that are registered now. */
   | {
     readonly kind: "targets";
-    readonly targets: ReadonlyMap<TargetId, AnnouncedTarget>;
+    readonly targets: ReadonlyMap<TargetId, RegisteredTarget>;
   }
   /** All VMs that ever registered; may lack the local one. */
   | { readonly kind: "members"; readonly members: readonly Member[] };
@@ -98,7 +98,7 @@
 }
 
 /** Request for the changes of a subject. */
-export interface ChangesQuestion {
+export interface ChangesRequest {
   /** Only changes after this version are returned. */
   readonly version: number;
   /** Longest wait for a change. */
@@ -114,7 +114,7 @@
   /** Waits for changes of a subject; rejects with {@link HistoryGoneError} if the history no longer holds them. */
   changes(
     subject: WatchedSubject,
-    request: ChangesQuestion,
+    request: ChangesRequest,
   ): Promise<RowsPage>;
   /** Decodes all rows of a subject. */
   decode(
@@ -122,7 +122,7 @@
     rows: ReadonlyMap<string, StoredRow>,
   ): readonly PlatformEvent[];
   /** Writes the row that registers the local VM. */
-  announce(member: Member): Promise<void>;
+  register(member: Member): Promise<void>;
   close(): void;
 }
 
@@ -142,7 +142,7 @@
   /** The sender's credential, from the header. */
   readonly credential: Credential;
   /** Headers for the target, names and values alternating, without those added for each attempt. */
-  readonly lines: readonly string[];
+  readonly rawHeaders: readonly string[];
   /** Length of the body in bytes; -1 if the header does not give it. */
   readonly contentLength: number;
   readonly chunked: boolean;
@@ -155,10 +155,10 @@
 }
 
 /** The header of a target's response. */
-export interface TargetAnswer {
+export interface TargetResponse {
   readonly status: number;
   /** Headers for the caller, names and values alternating. */
-  readonly lines: string[];
+  readonly rawHeaders: string[];
   /** Length of the body in bytes; -1 if the header does not give it. */
   readonly contentLength: number;
   /** The body has chunked transfer encoding: its last chunk marks its end. */
@@ -168,20 +168,20 @@
   /** The response carries the stamp with which the target confirms that it made it. */
   readonly isStamped: boolean;
   /** The target did not run the request, by its own statement. */
-  readonly notRun: boolean;
+  readonly isNotRun: boolean;
   /** The address belongs to another target now. */
   readonly isOtherTarget: boolean;
   readonly load: LoadReport | undefined;
   /** The target finishes the requests that it has and must get no new ones. */
   readonly isLeaving: boolean;
   /** How long this VM must send nothing to the target, which refused the request; 0 if it asks for no back-off. */
-  readonly restMs: number;
+  readonly backOffMs: number;
   /** Requests a second that the target accepts from all VMs together; undefined if it states no limit. */
   readonly limitPerSecond: number | undefined;
 }
 
 /** Result of a health probe. */
-export interface HealthAnswer {
+export interface HealthResponse {
   readonly isHealthy: boolean;
   /** The target that responded; undefined if not given. */
   readonly target: TargetId | undefined;
@@ -189,16 +189,16 @@
 }
 
 /** A caller's request for the addresses of VMs to connect to. */
-export interface LookupQuestion {
+export interface LookupRequest {
   readonly region: RegionId;
   readonly zone: ZoneId;
 }
 
 /** Metadata that an attempt sends to its target with the request. */
-export interface AttemptLabel {
+export interface AttemptMetadata {
   readonly target: TargetId;
   /** Time that remains until the request's deadline. */
-  readonly leftMs: number;
+  readonly remainingMs: number;
   /** The client account that sent the request; undefined for an anonymous request. */
   readonly account: AccountId | undefined;
 }
@@ -211,17 +211,20 @@
     options: { readonly hasAccounts: boolean },
   ): CallerRequest | MalformedRequest;
   /** Headers that one attempt adds to those of the request. */
-  attemptLines(attempt: AttemptLabel): readonly string[];
+  attemptHeaders(attempt: AttemptMetadata): readonly string[];
   /** Reads the header of a target's response; `raw` has names and values alternating. */
-  readAnswer(status: number, raw: readonly Uint8Array[]): TargetAnswer;
+  readResponse(status: number, raw: readonly Uint8Array[]): TargetResponse;
   /** Reads the header of a response to a health probe. */
-  readHealth(status: number, raw: readonly Uint8Array[]): HealthAnswer;
+  readHealthResponse(
+    status: number,
+    raw: readonly Uint8Array[],
+  ): HealthResponse;
   /** Undefined if `url` is not a look-up. */
-  readLookup(url: string): LookupQuestion | undefined;
+  readLookup(url: string): LookupRequest | undefined;
   /** JSON body of the reply to a look-up. */
   lookupBody(
     reply: { readonly addresses: readonly string[]; readonly ttlMs: number },
   ): string;
   /** Whether `url` is the readiness check of this VM. */
-  isReadinessQuestion(url: string): boolean;
+  isReadinessRequest(url: string): boolean;
 }
--- a/packages/daemon/src/gateway/relay.ts
+++ b/packages/daemon/src/gateway/relay.ts
@@ -18,9 +18,9 @@
   JSONRPCServer,
 } from "json-rpc-2.0";
 import * as z from "zod";
-import type { FreshnessWord } from "@poplarthread/coordination/freshness";
+import type { FreshnessReport } from "@poplarthread/coordination/freshness";
 import { messageOf } from "../errors.ts";
-import { callJson, JsonAnswerError } from "../json_call.ts";
+import { callJson, JsonCallError } from "../json_call.ts";
 import { listen } from "../listen.ts";
 import { Task } from "../task.ts";
 import {
@@ -45,7 +45,7 @@
 }
 
 /** A VM's response. Sent as JSON. */
-export interface RelayResponse extends RowChanges, FreshnessWord {
+export interface RelayResponse extends RowChanges, FreshnessReport {
   /** Time since the store last confirmed that no change is missing. */
   readonly ageMs: number;
   /** Time since connectivity to the store was restored; undefined if it was never lost. */
@@ -101,12 +101,12 @@
   readonly #rpc = new JSONRPCServer({ errorListener: () => undefined });
   #server: Server | undefined;
 
-  constructor(options: { listen: ListenAddress; news: RelayHandler }) {
+  constructor(options: { listen: ListenAddress; handler: RelayHandler }) {
     super("relay");
     this.#listen = options.listen;
     this.#rpc.addMethod(METHOD, async (params) => {
       const { subject, ...request } = paramsSchema.parse(params);
-      const response = await options.news(subject, request);
+      const response = await options.handler(subject, request);
       if (response === undefined) {
         throw new Error("nothing read yet");
       }
@@ -171,12 +171,12 @@
       ...(signal === undefined ? {} : { signal }),
     });
     if (!isJSONRPCResponse(body)) {
-      throw new JsonAnswerError(
+      throw new JsonCallError(
         "The relay's response is not a JSON-RPC 2.0 response",
       );
     }
     if (body.error !== undefined) {
-      throw new JsonAnswerError(body.error.message);
+      throw new JsonCallError(body.error.message);
     }
     return decodeResponse(body.result);
   }
@@ -231,7 +231,7 @@
 function decodeResponse(result: unknown): RelayResponse {
   const parsed = responseSchema.safeParse(result);
   if (!parsed.success) {
-    throw new JsonAnswerError(messageOf(parsed.error));
+    throw new JsonCallError(messageOf(parsed.error));
   }
   const { rows, regainedMs, ...rest } = parsed.data;
   return {
--- a/packages/daemon/src/gateway/relay_test.ts
+++ b/packages/daemon/src/gateway/relay_test.ts
@@ -6,11 +6,11 @@
 
 import { connect } from "node:net";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { ownAddress } from "../loopback.ts";
+import { loopbackAddress } from "../loopback.ts";
 import { RelayClient, RelayListener, type RelayResponse } from "./relay.ts";
 import { memberNamed } from "./testing.ts";
 
-const HOST = ownAddress(77);
+const HOST = loopbackAddress(77);
 const PORT = 17_720;
 const RELAY = memberNamed("vm-1", { peerAddress: `${HOST}:${PORT}` });
 const REQUEST = { version: 3, waitMs: 100, isPatient: false };
@@ -24,7 +24,7 @@
   client = new RelayClient();
   listener = new RelayListener({
     listen: { host: HOST, port: PORT },
-    news: () => Promise.resolve(response),
+    handler: () => Promise.resolve(response),
   });
   await listener.start({ failed: () => undefined });
 });
@@ -62,7 +62,7 @@
   await listener.stop();
   listener = new RelayListener({
     listen: { host: HOST, port: PORT },
-    news: () => new Promise(() => undefined),
+    handler: () => new Promise(() => undefined),
   });
   await listener.start({ failed: () => undefined });
   const startedAt = performance.now();
--- a/packages/daemon/src/gateway/request_log.ts
+++ b/packages/daemon/src/gateway/request_log.ts
@@ -26,7 +26,7 @@
   }
 
   /** Logs the end of a request, unless the line is suppressed. */
-  ended(
+  requestEnded(
     exchange: GatewayExchange,
     end: GatewayExchangeEnd,
     { now, newsMs, accountsMs }: {
@@ -35,7 +35,7 @@
       accountsMs: number;
     },
   ): void {
-    const isOnTime = end === "answered" && now <= exchange.aimAt;
+    const isOnTime = end === "answered" && now <= exchange.objectiveAt;
     if (isOnTime && !this.#mayWrite(now)) {
       this.#suppressedLines += 1;
       return;
--- a/packages/daemon/src/gateway/request_path.ts
+++ b/packages/daemon/src/gateway/request_path.ts
@@ -16,8 +16,8 @@
   type GatewayExchangeOptions,
   type GatewayExchangeServices,
 } from "./exchange.ts";
-import type { LimitWord } from "./limit_news.ts";
-import type { AnnouncedTarget, Dialect } from "./ports.ts";
+import type { LimitUpdate } from "./limit_updates.ts";
+import type { Dialect, RegisteredTarget } from "./ports.ts";
 import { RequestQueue } from "./request_queue.ts";
 import { type TargetChange, TargetDirectory } from "./target_directory.ts";
 
@@ -34,15 +34,15 @@
   readonly log: EventLog;
   readonly connections: ConnectionSource;
   /** Called when a target has changed. */
-  targetChanged(target: AnnouncedTarget, change: TargetChange): void;
+  targetChanged(target: RegisteredTarget, change: TargetChange): void;
   /** Called when a target has become unresponsive. */
-  targetSilent(target: TargetId): void;
+  targetUnresponsive(target: TargetId): void;
   /** Probes a target that was taken out of use. */
   probe(target: TargetId): void;
   /** Called when a request is queued: {@link RequestPath.tick} is then due in {@link BUSY_TICK_MS}. */
-  hurry?(): void;
+  requestQueued?(): void;
   /** Sends peers the limit that a target reported, or lifted. */
-  publishLimit(limit: LimitWord): void;
+  publishLimit(limit: LimitUpdate): void;
   /** Sends peers a target crash that a request may have caused. */
   publishCrash(crash: SuspectedCrash): void;
   /** Called once per exchange, when its caller has the final response or has disconnected. */
@@ -66,11 +66,11 @@
     const { steering, dialect, log, connections } = options;
     this.#options = options;
     this.steering = steering;
-    this.#queue = new RequestQueue(() => options.hurry?.());
+    this.#queue = new RequestQueue(() => options.requestQueued?.());
     this.targets = new TargetDirectory({
       steering,
       zones: options.zones,
-      onGone: (target) => connections.forget(target),
+      onRunEnded: (target) => connections.remove(target),
       onChange: (target, change) => this.#targetChanged(target, change),
       onFirstList: (targets) => this.#logFirstList(targets),
     });
@@ -119,8 +119,8 @@
   idleTick(now: number): void {
     this.targets.sweep(now);
     this.#queue.retryAll(now);
-    for (const target of this.steering.checkSilence(now)) {
-      this.#options.targetSilent(target);
+    for (const target of this.steering.findUnresponsive(now)) {
+      this.#options.targetUnresponsive(target);
       this.#options.log.write("target silent", { target });
     }
     for (const target of this.steering.probesDue(now)) {
@@ -129,22 +129,25 @@
   }
 
   /** Applies the platform's complete list of targets. */
-  listed(targets: ReadonlyMap<TargetId, AnnouncedTarget>, now: number): void {
+  updateTargets(
+    targets: ReadonlyMap<TargetId, RegisteredTarget>,
+    now: number,
+  ): void {
     this.targets.update(targets, now);
     this.#queue.placeAllWaiting(now);
   }
 
   /** Applies a target's limit that a peer reported. */
-  heardLimit(limit: LimitWord): void {
+  applyPeerLimit(limit: LimitUpdate): void {
     this.#applyLimit(limit, "peer");
   }
 
   /** Sets the zones whose targets must not be sent any requests. */
-  evacuate(zones: ReadonlySet<ZoneId>, now: number): void {
+  setEvacuatedZones(zones: ReadonlySet<ZoneId>, now: number): void {
     const { log } = this.#options;
     for (const zone of this.#evacuatedZones) {
       if (!zones.has(zone)) {
-        this.targets.zoneTakenBack(zone, now);
+        this.targets.zoneRestored(zone, now);
         log.write("zone taken back", { zone });
       }
     }
@@ -158,18 +161,18 @@
   }
 
   /** Records that connecting to a target took `ms`. */
-  connected(id: TargetId, ms: number): void {
+  recordConnectTime(id: TargetId, ms: number): void {
     const target = this.targets.get(id);
     if (target !== undefined) {
-      this.steering.roundTrips.measured(target.zone, ms);
+      this.steering.roundTrips.record(target.zone, ms);
     }
   }
 
   /** Applies a target's limit; returns true if it changed. */
-  #applyLimit(limit: LimitWord, source: "answer" | "peer"): boolean {
+  #applyLimit(limit: LimitUpdate, source: "answer" | "peer"): boolean {
     const { target, perSecond } = limit;
     const { log } = this.#options;
-    if (!this.steering.limitNamed(target, limit)) {
+    if (!this.steering.updateLimit(target, limit)) {
       return false;
     }
     if (perSecond === undefined) {
@@ -180,7 +183,7 @@
     return true;
   }
 
-  #logFirstList(targets: readonly AnnouncedTarget[]): void {
+  #logFirstList(targets: readonly RegisteredTarget[]): void {
     const counts = new Map<ServiceId, number>();
     for (const { service } of targets) {
       counts.set(service, (counts.get(service) ?? 0) + 1);
@@ -190,7 +193,7 @@
     }
   }
 
-  #targetChanged(target: AnnouncedTarget, change: TargetChange): void {
+  #targetChanged(target: RegisteredTarget, change: TargetChange): void {
     if (change === "gone" || change === "restarted") {
       this.suspects.targetCrashed(target.id, performance.now());
     }
--- a/packages/daemon/src/gateway/request_queue.ts
+++ b/packages/daemon/src/gateway/request_queue.ts
@@ -5,10 +5,10 @@
  */
 
 import type { ServiceId } from "@poplarthread/ids";
-import { type Waiting, WaitingRoom } from "@poplarthread/placement";
+import { type QueuedRequest, WaitQueue } from "@poplarthread/placement";
 
 /** A request that can be placed. */
-export interface Placeable extends Waiting {
+export interface Placeable extends QueuedRequest {
   readonly service: ServiceId;
   /** Tries to place the request while `ahead` requests wait before it; returns true if it has to keep waiting. */
   tryPlace(now: number, ahead: number): boolean;
@@ -19,7 +19,7 @@
 
 /** The wait queues of one VM; see the module comment. */
 export class RequestQueue {
-  readonly #queues = new Map<ServiceId, WaitingRoom<Placeable>>();
+  readonly #queues = new Map<ServiceId, WaitQueue<Placeable>>();
   readonly #onQueued: () => void;
 
   /** `onQueued` is called for each request that is queued. */
@@ -40,10 +40,10 @@
   add(request: Placeable, now: number): void {
     let queue = this.#queues.get(request.service);
     if (queue === undefined) {
-      queue = new WaitingRoom();
+      queue = new WaitQueue();
       this.#queues.set(request.service, queue);
     }
-    if (request.tryPlace(now, queue.ahead(request.priority))) {
+    if (request.tryPlace(now, queue.countAhead(request.priority))) {
       queue.add(request);
       this.#onQueued();
     }
--- a/packages/daemon/src/gateway/request_queue_test.ts
+++ b/packages/daemon/src/gateway/request_queue_test.ts
@@ -11,7 +11,7 @@
 /** A request that waits until `hasRoom`, and counts the attempts to place it. */
 class WaitingRequest implements Placeable {
   readonly service = "portal" as ServiceId;
-  readonly aimAt = 1_000;
+  readonly objectiveAt = 1_000;
   readonly account = undefined;
   readonly priority: number;
   placementAttempts = 0;
--- a/packages/daemon/src/gateway/start_attempt.ts
+++ b/packages/daemon/src/gateway/start_attempt.ts
@@ -65,8 +65,8 @@
     path: url,
     method: method as Dispatcher.HttpMethod,
     headers: [
-      ...request.lines,
-      ...dialect.attemptLines({ target: id, leftMs, account }),
+      ...request.rawHeaders,
+      ...dialect.attemptHeaders({ target: id, remainingMs: leftMs, account }),
     ],
     body,
   }, attempt);
--- a/packages/daemon/src/gateway/subject_watch.ts
+++ b/packages/daemon/src/gateway/subject_watch.ts
@@ -6,10 +6,10 @@
  */
 
 import {
-  freshnessWord,
-  knownSinceReading,
-  knownSinceWord,
-  newest,
+  freshnessReport,
+  knownSinceRead,
+  knownSinceReport,
+  laterKnownSince,
 } from "@poplarthread/coordination/freshness";
 import { messageOf } from "../errors.ts";
 import { pause } from "../pause.ts";
@@ -216,7 +216,7 @@
         return {
           ...changes,
           ageMs: Math.round(this.ageMs),
-          ...freshnessWord(this.#knownSince, {
+          ...freshnessReport(this.#knownSince, {
             askedAt: steadyReceivedAt,
             answeredAt: this.#steadyNow,
           }),
@@ -320,7 +320,7 @@
       version: response.position,
     });
     this.#recordKnownSince(
-      knownSinceWord(response, { askedAt, answeredAt: this.#steadyNow }),
+      knownSinceReport(response, { askedAt, answeredAt: this.#steadyNow }),
     );
     if (!isFresh) {
       this.#backOff(relay, STALE_BACK_OFF_MS, "its rows are stale");
@@ -401,11 +401,11 @@
 
   #recordRead(startedAt: number): void {
     const endedAt = this.#steadyNow;
-    this.#recordKnownSince(knownSinceReading({ startedAt, endedAt }));
+    this.#recordKnownSince(knownSinceRead({ startedAt, endedAt }));
   }
 
   #recordKnownSince(since: number): void {
-    this.#knownSince = newest(this.#knownSince, since);
+    this.#knownSince = laterKnownSince(this.#knownSince, since);
   }
 
   #apply(isWhole: boolean, page: Pick<RowsPage, "rows" | "version">): void {
--- a/packages/daemon/src/gateway/subject_watch_test.ts
+++ b/packages/daemon/src/gateway/subject_watch_test.ts
@@ -7,7 +7,7 @@
 import { afterEach, beforeEach, describe, expect, test, vi } from "vitest";
 import { pause } from "../pause.ts";
 import {
-  type ChangesQuestion,
+  type ChangesRequest,
   HistoryGoneError,
   type Member,
   type RowsPage,
@@ -50,7 +50,7 @@
 
   async changes(
     _subject: string,
-    { version, waitMs, signal }: ChangesQuestion,
+    { version, waitMs, signal }: ChangesRequest,
   ): Promise<RowsPage> {
     await this.#receiveCall(signal);
     if (version < this.historyFrom) {
--- a/packages/daemon/src/gateway/target_attempt.ts
+++ b/packages/daemon/src/gateway/target_attempt.ts
@@ -9,20 +9,20 @@
 import { Buffer } from "node:buffer";
 import type { Dispatcher } from "undici";
 import type { TargetId } from "@poplarthread/ids";
-import { NotSentError, WrongAnswerError } from "../errors.ts";
+import { InvalidResponseError, NotSentError } from "../errors.ts";
 import type { TargetConnection } from "./connections.ts";
-import type { Dialect, TargetAnswer } from "./ports.ts";
+import type { Dialect, TargetResponse } from "./ports.ts";
 
 /** How an attempt ended. */
 export type TargetAttemptEnd =
   /** A complete response; its body is empty if it was streamed to the owner. */
   | {
     readonly kind: "answered";
-    readonly response: TargetAnswer;
+    readonly response: TargetResponse;
     readonly body: Buffer;
   }
   /** The target refused the request before running it. */
-  | { readonly kind: "not-run"; readonly response: TargetAnswer }
+  | { readonly kind: "not-run"; readonly response: TargetResponse }
   /** Nothing was sent: connecting failed. */
   | { readonly kind: "unreachable"; readonly err: Error }
   /** The request was sent, but no complete response to it arrived. */
@@ -40,7 +40,7 @@
    */
   attemptStreaming(
     attempt: TargetAttempt,
-    response: TargetAnswer,
+    response: TargetResponse,
     firstChunk: Buffer,
   ): boolean;
   /** Called for each further chunk of a streamed response. Returns false to pause until `resume`. */
@@ -76,7 +76,7 @@
   #isAbandoned = false;
   #abort: ((err?: Error) => void) | undefined;
   #resume: (() => void) | undefined;
-  #response: TargetAnswer | undefined;
+  #response: TargetResponse | undefined;
   #chunks: Buffer[] = [];
   #bufferedBytes = 0;
   #isStreaming = false;
@@ -130,7 +130,7 @@
       return true;
     }
     this.#resume = resume;
-    const response = this.#options.dialect.readAnswer(status, raw);
+    const response = this.#options.dialect.readResponse(status, raw);
     if (
       response.requestId !== undefined &&
       response.requestId !== this.#options.requestId
@@ -168,14 +168,14 @@
 
   onComplete(): void {
     const response = this.#response!;
-    if (this.connection.wasCut(response.isChunked)) {
-      const err = new WrongAnswerError(
+    if (this.connection.wasTruncated(response.isChunked)) {
+      const err = new InvalidResponseError(
         "connection closed before the response was complete",
       );
       this.#end({ kind: "broke", err });
       return;
     }
-    if (response.notRun) {
+    if (response.isNotRun) {
       this.#end({ kind: "not-run", response });
       return;
     }
@@ -196,7 +196,7 @@
   }
 
   #reject(reason: string): void {
-    const err = new WrongAnswerError(reason);
+    const err = new InvalidResponseError(reason);
     this.#end({ kind: "broke", err });
     this.#abort?.(err);
   }
--- a/packages/daemon/src/gateway/target_directory.ts
+++ b/packages/daemon/src/gateway/target_directory.ts
@@ -8,7 +8,7 @@
 import type { RegionId, ServiceId, TargetId, ZoneId } from "@poplarthread/ids";
 import { hashText, type Steering } from "@poplarthread/placement";
 import type { Service } from "./configuration.ts";
-import type { AnnouncedTarget } from "./ports.ts";
+import type { RegisteredTarget } from "./ports.ts";
 
 /**
  * Entries of living targets that expired during an outage of the store are back within
@@ -31,10 +31,10 @@
   readonly steering: Steering;
   readonly zones: ReadonlyMap<ZoneId, RegionId>;
   /** A target is gone or has restarted: connections to its previous run are useless. */
-  onGone(target: TargetId): void;
-  onChange(target: AnnouncedTarget, what: TargetChange): void;
+  onRunEnded(target: TargetId): void;
+  onChange(target: RegisteredTarget, what: TargetChange): void;
   /** Called once instead of {@link onChange} if no target was known before: a call for each of several hundred targets would delay the start. */
-  onFirstList(targets: readonly AnnouncedTarget[]): void;
+  onFirstList(targets: readonly RegisteredTarget[]): void;
 }
 
 /** What changed about a target. */
@@ -49,7 +49,7 @@
 /** Keeps the targets of {@link Steering} in sync with the platform's list. */
 export class TargetDirectory {
   readonly #options: TargetDirectoryOptions;
-  readonly #known = new Map<TargetId, AnnouncedTarget>();
+  readonly #known = new Map<TargetId, RegisteredTarget>();
   /** Targets whose entry is missing, and until when it may merely have expired in an outage. */
   readonly #missingUntil = new Map<TargetId, number>();
   /** Targets that announced in a response that they are leaving, with the start of the run that did. */
@@ -66,7 +66,7 @@
     return this.#known.size;
   }
 
-  get(id: TargetId): AnnouncedTarget | undefined {
+  get(id: TargetId): RegisteredTarget | undefined {
     return this.#known.get(id);
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** A target announces in a response that it is leaving; the list shows that later, or not at all during an outage of the store. */
-  saysLeaving(id: TargetId): void {
+  markLeaving(id: TargetId): void {
     const target = this.#known.get(id);
     if (
       target === undefined || target.leaving ||
@@ -95,7 +95,7 @@
   }
 
   /** Whether this run of the target has announced that it is leaving. */
-  #hasAnnouncedLeaving({ id, startedAt }: AnnouncedTarget): boolean {
+  #hasAnnouncedLeaving({ id, startedAt }: RegisteredTarget): boolean {
     return this.#announcedLeaving.has(id) &&
       this.#announcedLeaving.get(id) === startedAt;
   }
@@ -109,7 +109,7 @@
   }
 
   /** The list cannot be read (`isLost`), or can be read again. */
-  contact(isLost: boolean, now: number): void {
+  connectivityChanged(isLost: boolean, now: number): void {
     if (this.#isListLost && !isLost) {
       this.#expiredEntriesUntil = now + REREGISTRATION_WAIT_MS;
     }
@@ -118,7 +118,7 @@
 
   /** Applies the platform's complete list. */
   update(
-    listed: ReadonlyMap<TargetId, AnnouncedTarget>,
+    listed: ReadonlyMap<TargetId, RegisteredTarget>,
     now: number,
   ): void {
     if (this.#known.size === 0 && listed.size > 0) {
@@ -146,14 +146,14 @@
       const target = this.#known.get(id);
       this.#known.delete(id);
       this.#options.steering.removeTarget(id);
-      this.#options.onGone(id);
+      this.#options.onRunEnded(id);
       if (target !== undefined) {
         this.#options.onChange(target, "gone");
       }
     }
   }
 
-  #addFirstList(targets: readonly AnnouncedTarget[], now: number): void {
+  #addFirstList(targets: readonly RegisteredTarget[], now: number): void {
     for (const target of targets) {
       this.#known.set(target.id, target);
       if (target.coldMs > 0) {
@@ -164,8 +164,8 @@
     this.#options.onFirstList(targets);
   }
 
-  #updateTarget(target: AnnouncedTarget, now: number): void {
-    const { steering, onGone, onChange } = this.#options;
+  #updateTarget(target: RegisteredTarget, now: number): void {
+    const { steering, onRunEnded: onGone, onChange } = this.#options;
     const known = this.#known.get(target.id);
     const wasMissing = this.#missingUntil.delete(target.id);
     if (known === target && !wasMissing) {
@@ -196,7 +196,7 @@
   }
 
   /** Marks all targets of `zone` as cold: they got no requests during its evacuation. */
-  zoneTakenBack(zone: ZoneId, now: number): void {
+  zoneRestored(zone: ZoneId, now: number): void {
     for (const target of this.#known.values()) {
       if (target.zone === zone) {
         this.#options.steering.markCold(target.id, now + this.#coldMs(target));
@@ -204,11 +204,11 @@
     }
   }
 
-  #coldMs(target: AnnouncedTarget): number {
+  #coldMs(target: RegisteredTarget): number {
     return this.#services.get(target.service)?.coldMs ?? DEFAULT_COLD_MS;
   }
 
-  #updateSteering(target: AnnouncedTarget): void {
+  #updateSteering(target: RegisteredTarget): void {
     const { id, service, zone, slots } = target;
     const leaving = target.leaving || this.#hasAnnouncedLeaving(target);
     const region = this.#options.zones.get(zone);
--- a/packages/daemon/src/gateway/vm_directory.ts
+++ b/packages/daemon/src/gateway/vm_directory.ts
@@ -11,7 +11,7 @@
   rankedAbove,
   relaysFor,
 } from "@poplarthread/placement";
-import type { LookupQuestion, Member } from "./ports.ts";
+import type { LookupRequest, Member } from "./ports.ts";
 
 /**
  * A VM without a heartbeat for this long counts as down: three heartbeats, so that two
@@ -94,7 +94,7 @@
   }
 
   /** Adds the VMs that are registered in the platform's store; they may have stopped long ago. */
-  listed(members: readonly Member[], now: number): void {
+  addRegistered(members: readonly Member[], now: number): void {
     for (const member of members) {
       if (member.vm === this.#self.vm) {
         continue;
@@ -114,7 +114,7 @@
   }
 
   /** Records a heartbeat of a VM; true if the VM, or this instance of it, was not up before. */
-  heard(member: Member, { now, isLeaving }: {
+  recordHeartbeat(member: Member, { now, isLeaving }: {
     now: number;
     isLeaving: boolean;
   }): boolean {
@@ -139,7 +139,7 @@
   }
 
   /** Records the state of a VM from another zone's report. */
-  sighted({ vm, ageMs, isLeaving }: VmStatus, now: number): void {
+  recordStatus({ vm, ageMs, isLeaving }: VmStatus, now: number): void {
     const known = this.#entries.get(vm);
     // A VM whose row was not read yet is skipped: it is reported again within two seconds.
     if (known === undefined || this.#isInZone(known)) {
@@ -171,18 +171,18 @@
   }
 
   /** All other known VMs of the zone, up or not. */
-  near(): readonly Member[] {
+  zonePeers(): readonly Member[] {
     return [...this.#entries.values()].filter((entry) => this.#isInZone(entry))
       .map(({ member }) => member);
   }
 
   /** VMs of other zones to which this VM sends zone reports: all if it is a delegate, else none. */
-  far(now: number): readonly Member[] {
-    return this.reports(now) ? this.#membersOfOtherZones() : [];
+  reportRecipients(now: number): readonly Member[] {
+    return this.isZoneDelegate(now) ? this.#membersOfOtherZones() : [];
   }
 
   /** Whether this VM is a delegate of its zone: one of the two that rank highest. */
-  reports(now: number): boolean {
+  isZoneDelegate(now: number): boolean {
     return this.#rankInZone(now) < DELEGATES_PER_ZONE;
   }
 
@@ -191,7 +191,7 @@
    * get no warm-target updates: they use targets in an order of their own, so the updates
    * would not help them, and traffic between regions is expensive.
    */
-  spokenTo(now: number): readonly Member[] {
+  warmRecipients(now: number): readonly Member[] {
     return this.#rankInZone(now) > 0
       ? []
       : this.#membersOfOtherZones().filter(({ region }) =>
@@ -211,7 +211,7 @@
   }
 
   /** VMs of the zone that are up or leaving, including this one. */
-  sightings(now: number): readonly VmStatus[] {
+  zoneVmStatuses(now: number): readonly VmStatus[] {
     const statuses: VmStatus[] = [{
       vm: this.#self.vm,
       ageMs: 0,
@@ -286,7 +286,7 @@
   }
 
   /** Addresses for a caller: those of its region if there are enough, else all. */
-  addressesFor(request: LookupQuestion, now: number): readonly string[] {
+  addressesFor(request: LookupRequest, now: number): readonly string[] {
     const up = this.up(now);
     const inRegion = up.filter(({ region }) => region === request.region);
     const selected = inRegion.length >= MIN_ADDRESSES_IN_REGION ? inRegion : up;
--- a/packages/daemon/src/gateway/vm_directory_test.ts
+++ b/packages/daemon/src/gateway/vm_directory_test.ts
@@ -41,16 +41,19 @@
     // The store lists every VM that ever ran, also one that lost power for good. A caller
     // that gets its address waits for a connection that is never accepted.
     const { vms } = directory();
-    vms.listed([member("n-2", "north"), member("n-3", "north")], 0);
-    vms.heard(member("n-2", "north"), { now: 0, ...UP });
+    vms.addRegistered([member("n-2", "north"), member("n-3", "north")], 0);
+    vms.recordHeartbeat(member("n-2", "north"), { now: 0, ...UP });
     expect(addresses(vms, "north", 100)).toEqual(["n-1:80", "n-2:80"]);
   });
 
   test("no longer returns a VM that is unresponsive or leaving", () => {
     const { vms, changes } = directory();
-    vms.heard(member("n-2", "north"), { now: 0, ...UP });
-    vms.heard(member("n-3", "north"), { now: 0, ...UP });
-    vms.heard(member("n-3", "north"), { now: 2_000, isLeaving: true });
+    vms.recordHeartbeat(member("n-2", "north"), { now: 0, ...UP });
+    vms.recordHeartbeat(member("n-3", "north"), { now: 0, ...UP });
+    vms.recordHeartbeat(member("n-3", "north"), {
+      now: 2_000,
+      isLeaving: true,
+    });
     vms.sweep(4_000);
     expect(addresses(vms, "north", 4_000)).toEqual(["n-1:80"]);
     expect(changes).toEqual(["n-2 up", "n-3 up", "n-3 leaving", "n-2 down"]);
@@ -58,8 +61,8 @@
 
   test("returns VMs of other regions if the caller's region has too few", () => {
     const { vms } = directory();
-    vms.heard(member("s-1", "south"), { now: 0, ...UP });
-    vms.heard(member("s-2", "south"), { now: 0, ...UP });
+    vms.recordHeartbeat(member("s-1", "south"), { now: 0, ...UP });
+    vms.recordHeartbeat(member("s-2", "south"), { now: 0, ...UP });
     expect(addresses(vms, "south", 0)).toEqual(["s-1:80", "s-2:80"]);
     expect(addresses(vms, "north", 0)).toEqual(["n-1:80", "s-1:80", "s-2:80"]);
   });
@@ -74,7 +77,7 @@
 test("a VM that has restarted is greeted again", () => {
   const { vms } = directory();
   const isNew = (run: string, now: number) =>
-    vms.heard(member("n-2", "north", run), { now, ...UP });
+    vms.recordHeartbeat(member("n-2", "north", run), { now, ...UP });
   expect([isNew("a", 0), isNew("a", 1_000), isNew("b", 1_500)])
     .toEqual([true, false, true]);
 });
@@ -88,10 +91,10 @@
 
   test("are up while reports show recent heartbeats", () => {
     const { vms, changes } = directory();
-    vms.listed([member("s-1", "south"), member("s-2", "south")], 0);
-    vms.sighted(report("s-1", 200), 1_000);
-    vms.sighted(report("s-2", 3_000), 1_000);
-    vms.sighted(report("unknown", 0), 1_000);
+    vms.addRegistered([member("s-1", "south"), member("s-2", "south")], 0);
+    vms.recordStatus(report("s-1", 200), 1_000);
+    vms.recordStatus(report("s-2", 3_000), 1_000);
+    vms.recordStatus(report("unknown", 0), 1_000);
     expect(vms.up(2_000).map(({ vm }) => vm)).toEqual(["n-1", "s-1", "s-2"]);
     vms.sweep(3_500);
     expect(vms.up(3_500).map(({ vm }) => vm)).toEqual(["n-1", "s-1"]);
@@ -103,8 +106,8 @@
     // report. If the last reports were not valid that long, the whole zone would seem
     // down, and its targets' requests would move to other zones.
     const { vms } = directory();
-    vms.listed([member("s-1", "south")], 0);
-    vms.sighted(report("s-1", 0), 1_000);
+    vms.addRegistered([member("s-1", "south")], 0);
+    vms.recordStatus(report("s-1", 0), 1_000);
     expect(vms.up(1_000 + 3_200 + 1_000).map(({ vm }) => vm))
       .toEqual(["n-1", "s-1"]);
   });
@@ -116,11 +119,11 @@
         self: member(name, "north"),
         onChange: () => undefined,
       });
-      vms.listed([member("s-1", "south")], 0);
+      vms.addRegistered([member("s-1", "south")], 0);
       names.forEach((other) =>
-        vms.heard(member(other, "north"), { now: 0, ...UP })
+        vms.recordHeartbeat(member(other, "north"), { now: 0, ...UP })
       );
-      return vms.far(100).length > 0;
+      return vms.reportRecipients(100).length > 0;
     });
     expect(delegates).toHaveLength(2);
   });
@@ -131,8 +134,8 @@
     // that each side sees, both sides together would send twice the retries that targets
     // can handle.
     const { vms } = directory();
-    vms.listed([member("s-1", "south"), member("n-2", "north")], 0);
-    vms.sighted(report("s-1", 0), 1_000);
+    vms.addRegistered([member("s-1", "south"), member("n-2", "north")], 0);
+    vms.recordStatus(report("s-1", 0), 1_000);
     vms.sweep(9_000);
     expect(vms.up(9_000)).toHaveLength(1);
     expect(vms.fleetSize(9_000)).toBe(3);
@@ -153,9 +156,9 @@
   ];
   const recipients = all.slice(0, 2).map((self) => {
     const vms = new VmDirectory({ self, onChange: () => undefined });
-    vms.listed(all, 0);
-    all.forEach((one) => vms.heard(one, { now: 0, ...UP }));
-    return vms.spokenTo(100).map(({ vm }) => vm);
+    vms.addRegistered(all, 0);
+    all.forEach((one) => vms.recordHeartbeat(one, { now: 0, ...UP }));
+    return vms.warmRecipients(100).map(({ vm }) => vm);
   });
   expect(recipients.toSorted((a, b) => a.length - b.length)).toEqual([
     [],
--- a/packages/daemon/src/http/answer_head.ts
+++ b/packages/daemon/src/http/answer_head.ts
@@ -6,7 +6,7 @@
  */
 
 import type { Buffer } from "node:buffer";
-import { dropNamed, HOP_BY_HOP } from "./connection_lines.ts";
+import { dropConnectionHeaders, HOP_BY_HOP_HEADERS } from "./hop_by_hop.ts";
 import { LEAVING_HEADER, NOT_RUN_HEADER, OUTCOME_HEADER } from "./names.ts";
 
 /** What the header says. */
@@ -54,14 +54,14 @@
         contentLength = Number(value);
         break;
       default:
-        if (HOP_BY_HOP.has(name)) {
+        if (HOP_BY_HOP_HEADERS.has(name)) {
           continue;
         }
     }
     lines.push(name, value);
   }
   return {
-    lines: dropNamed(lines, connection),
+    lines: dropConnectionHeaders(lines, connection),
     contentLength,
     notRun,
     leaving,
--- a/packages/daemon/src/http/caller_listener.ts
+++ b/packages/daemon/src/http/caller_listener.ts
@@ -130,8 +130,8 @@
     const { host, port } = this.#options.settings.listen.caller;
     await listen(server, { host, port }, (err) => this.fail(err));
     this.#ticking = false;
-    this.every(IDLE_TICK_MS, { kind: "idle-tick" });
-    this.every(SWEEP_MS, { kind: "sweep" });
+    this.sendEvery(IDLE_TICK_MS, { kind: "idle-tick" });
+    this.sendEvery(SWEEP_MS, { kind: "sweep" });
   }
 
   protected override receive(message: CallerListenerMessage): void {
@@ -180,7 +180,7 @@
   #tickOn(): void {
     if (this.#open > 0 && !this.#ticking) {
       this.#ticking = true;
-      this.after(TICK_MS, { kind: "tick" });
+      this.sendAfter(TICK_MS, { kind: "tick" });
     }
   }
 
--- a/packages/daemon/src/http/exchange.ts
+++ b/packages/daemon/src/http/exchange.ts
@@ -160,7 +160,7 @@
 
   /** The whole body; undefined where it is streamed. */
   get wholeBody(): Buffer | null | undefined {
-    return this.#body === undefined ? null : this.#body.whole;
+    return this.#body === undefined ? null : this.#body.buffered;
   }
 
   /** Whether the caller still sends its body. */
@@ -176,7 +176,7 @@
   /** Takes the request in. */
   start(): void {
     this.#services.wheel.add(this);
-    if (!RequestBody.announcedBy(this.head)) {
+    if (!RequestBody.isPresent(this.head)) {
       this.bodyReady();
       return;
     }
@@ -258,7 +258,7 @@
         REQUEST_ID_HEADER,
         this.id,
       ],
-      body: this.#body?.forAttempt ?? null,
+      body: this.#body?.content ?? null,
     }, attempt);
   }
 
@@ -335,7 +335,7 @@
     }
     this.#claimDispatched = true;
     this.#mayHaveRun = true;
-    this.#body?.markFlowing();
+    this.#body?.markSendStarted();
     return true;
   }
 
--- a/packages/daemon/src/http/connection_lines.ts
+++ b/packages/daemon/src/http/hop_by_hop.ts
@@ -6,7 +6,7 @@
  */
 
 /** Names of headers that are always hop-by-hop, in lower case. */
-export const HOP_BY_HOP: ReadonlySet<string> = new Set([
+export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -23,7 +23,10 @@
  * that the `connection` headers name. `connection` holds the values of these headers,
  * each preceded by a comma.
  */
-export function dropNamed(headers: string[], connection: string): string[] {
+export function dropConnectionHeaders(
+  headers: string[],
+  connection: string,
+): string[] {
   if (
     connection === "" || connection === ",keep-alive" || connection === ",close"
   ) {
--- a/packages/daemon/src/http/request_body.ts
+++ b/packages/daemon/src/http/request_body.ts
@@ -59,7 +59,7 @@
   }
 
   /** Whether a request with this header has a body. */
-  static announcedBy(head: BodyFraming): boolean {
+  static isPresent(head: BodyFraming): boolean {
     return head.chunked || head.contentLength > 0;
   }
 
@@ -96,17 +96,17 @@
   }
 
   /** The body to send with an attempt: a stream, a buffer, or null if there is none. */
-  get forAttempt(): Buffer | Readable | null {
+  get content(): Buffer | Readable | null {
     return this.#stream ?? this.#buffered;
   }
 
   /** Records that an attempt starts to send the body. */
-  markFlowing(): void {
+  markSendStarted(): void {
     this.#sendStarted = true;
   }
 
   /** The complete body, for digests; undefined if it is streamed. */
-  get whole(): Buffer | undefined {
+  get buffered(): Buffer | undefined {
     return this.#stream === undefined
       ? this.#buffered ?? Buffer.alloc(0)
       : undefined;
--- a/packages/daemon/src/http/request_head.ts
+++ b/packages/daemon/src/http/request_head.ts
@@ -7,7 +7,7 @@
 
 import type { IncomingMessage } from "node:http";
 import type { CallerId, IdempotencyKey } from "@poplarthread/ids";
-import { dropNamed, HOP_BY_HOP } from "./connection_lines.ts";
+import { dropConnectionHeaders, HOP_BY_HOP_HEADERS } from "./hop_by_hop.ts";
 import { DEADLINE_HEADER, HOPS_HEADER, KEY_HEADER } from "./names.ts";
 
 /** Longest idempotency key; keys end up in the table. */
@@ -102,7 +102,7 @@
         break;
       default:
         // `expect` is answered by this listener; a target must not answer it again.
-        if (HOP_BY_HOP.has(name) || name === "expect") {
+        if (HOP_BY_HOP_HEADERS.has(name) || name === "expect") {
           continue;
         }
         if (name === options.callerHeader) {
@@ -124,7 +124,7 @@
     return bad("the request goes round in a loop", 508);
   }
   const address = req.socket.remoteAddress ?? "unknown";
-  const kept = dropNamed(lines, connection);
+  const kept = dropConnectionHeaders(lines, connection);
   kept.push(
     "via",
     `${via}1.1 ${options.vm}`,
--- a/packages/daemon/src/json_call.ts
+++ b/packages/daemon/src/json_call.ts
@@ -7,7 +7,7 @@
 import { type Agent, request } from "node:http";
 
 /** The call timed out, or its response cannot be used. */
-export class JsonAnswerError extends Error {
+export class JsonCallError extends Error {
   override readonly name = "JsonCallError";
 }
 
@@ -52,7 +52,7 @@
     const timer = setTimeout(
       () =>
         req.destroy(
-          new JsonAnswerError("Timed out waiting for the JSON response"),
+          new JsonCallError("Timed out waiting for the JSON response"),
         ),
       timeoutMs,
     );
@@ -76,7 +76,7 @@
           const text = Buffer.concat(chunks).toString("utf8");
           resolve({ status, body: JSON.parse(text) });
         } catch {
-          reject(new JsonAnswerError("The response body is not JSON"));
+          reject(new JsonCallError("The response body is not JSON"));
         }
       });
     });
--- a/packages/daemon/src/listen_test.ts
+++ b/packages/daemon/src/listen_test.ts
@@ -7,9 +7,9 @@
 import { createServer } from "node:net";
 import { expect, test } from "vitest";
 import { listen } from "./listen.ts";
-import { ownAddress } from "./loopback.ts";
+import { loopbackAddress } from "./loopback.ts";
 
-const HOST = ownAddress(79);
+const HOST = loopbackAddress(79);
 
 test("every error after the server is listening is reported", async () => {
   // The process has run out of file descriptors and cannot accept connections.
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -66,9 +66,9 @@
   info(event: string, fields?: LogFields): void;
   debug(event: string, fields?: LogFields): void;
   /** Whether debug lines are written; callers can skip the work for them if not. */
-  readonly debugs: boolean;
+  readonly isDebugEnabled: boolean;
   /** Number of lines dropped because their reader did not keep up. */
-  readonly dropped: number;
+  readonly droppedLines: number;
 }
 
 /** Creates the log of one daemon; each line names the VM and the instance. */
@@ -99,8 +99,8 @@
     warn: (event, fields) => void logger.warn(event, fields),
     info: (event, fields) => void logger.info(event, fields),
     debug: (event, fields) => void logger.debug(event, fields),
-    debugs: logger.isDebugEnabled(),
-    get dropped() {
+    isDebugEnabled: logger.isDebugEnabled(),
+    get droppedLines() {
       return output.droppedLines;
     },
   };
--- a/packages/daemon/src/lookups.ts
+++ b/packages/daemon/src/lookups.ts
@@ -7,7 +7,7 @@
 import { Buffer } from "node:buffer";
 import type { Preset } from "@poplarthread/config";
 import type { RegionId, VmId, ZoneId } from "@poplarthread/ids";
-import type { LookupAnswer, LookupVm } from "@poplarthread/operator-api";
+import type { LookupResponse, LookupVm } from "@poplarthread/operator-api";
 
 /** What a ranking looks at. */
 export interface LookupInput {
@@ -27,7 +27,7 @@
 const OTHER_REGIONS = 4;
 
 /** The answer for callers in `zone`. */
-export function rankVms(input: LookupInput, zone: ZoneId): LookupAnswer {
+export function rankVms(input: LookupInput, zone: ZoneId): LookupResponse {
   const { preset, vms } = input;
   const region = regionOf(preset, zone) ?? input.self.region;
   const costs = new Map(
@@ -127,7 +127,7 @@
   }
 
   /** The same answer as a value. */
-  answer(zone: ZoneId | undefined): LookupAnswer {
+  answer(zone: ZoneId | undefined): LookupResponse {
     const input = this.#input;
     return input === undefined
       ? { vms: [], lifetimeMs: 1_000 }
@@ -135,7 +135,7 @@
   }
 }
 
-function toPage(answer: LookupAnswer): LookupPage {
+function toPage(answer: LookupResponse): LookupPage {
   const body = Buffer.from(JSON.stringify(answer)).toString("latin1");
   // Rounded down: a shared cache must not keep it for longer than it holds.
   const seconds = Math.floor(answer.lifetimeMs / 1_000);
--- a/packages/daemon/src/loopback.ts
+++ b/packages/daemon/src/loopback.ts
@@ -12,7 +12,7 @@
  * 127.0.0.1, a connection of another test may take a port that was free a moment
  * earlier, and the test would fail; on this address no other process takes it.
  */
-export function ownAddress(host: number): string {
+export function loopbackAddress(host: number): string {
   const { pid } = process;
   return `127.${64 + (pid >> 8) % 128}.${pid % 256}.${host}`;
 }
--- a/packages/daemon/src/membership_task.ts
+++ b/packages/daemon/src/membership_task.ts
@@ -65,7 +65,7 @@
 
   protected override open(): void {
     this.#start();
-    this.every(TICK_MS, { kind: "tick" });
+    this.sendEvery(TICK_MS, { kind: "tick" });
   }
 
   protected override receive(message: MembershipTaskMessage): void {
--- a/packages/daemon/src/operator/listener_test.ts
+++ b/packages/daemon/src/operator/listener_test.ts
@@ -76,9 +76,10 @@
     change: { kind: "edit", preset: {} as never },
   }).catch((err: OperatorApiError) => err);
   expect(answer).toBeInstanceOf(OperatorApiError);
-  expect((answer as OperatorApiError).answer?.findings?.length).toBeGreaterThan(
-    5,
-  );
+  expect((answer as OperatorApiError).errorBody?.findings?.length)
+    .toBeGreaterThan(
+      5,
+    );
   expect(accepted).toEqual([]);
   await client.close();
 });
--- a/packages/daemon/src/operator/mod.ts
+++ b/packages/daemon/src/operator/mod.ts
@@ -13,7 +13,7 @@
 } from "node:http";
 import { FindingsError } from "@poplarthread/config";
 import { TableError } from "@poplarthread/coordination";
-import type { ErrorAnswer } from "@poplarthread/operator-api";
+import type { ErrorResponse } from "@poplarthread/operator-api";
 import type {
   OperatorBackend,
   ProbeAnswer,
@@ -142,7 +142,7 @@
   sendJson(res, status, body);
 }
 
-function describe(err: unknown): { status: number; body: ErrorAnswer } {
+function describe(err: unknown): { status: number; body: ErrorResponse } {
   if (err instanceof HttpError) {
     return {
       status: err.status,
--- a/packages/daemon/src/operator/routes.ts
+++ b/packages/daemon/src/operator/routes.ts
@@ -5,12 +5,16 @@
  * @module
  */
 
-import { FindingsError, presetFormat, readValue } from "@poplarthread/config";
+import {
+  FindingsError,
+  presetFormat,
+  validateValue,
+} from "@poplarthread/config";
 import { id, type PresetId, type ZoneId } from "@poplarthread/ids";
 import {
-  type ChangeAnswer,
   changeRequestFormat,
-  type CheckAnswer,
+  type ChangeResponse,
+  type CheckResponse,
   explainRequestFormat,
 } from "@poplarthread/operator-api";
 import type { OperatorBackend } from "../operator_backend.ts";
@@ -66,7 +70,9 @@
       return backend.lookup(zone === null ? undefined : id<ZoneId>(zone));
     }
     case "POST explain":
-      return backend.explain(readValue(await req.body(), explainRequestFormat));
+      return backend.explain(
+        validateValue(await req.body(), explainRequestFormat),
+      );
     default:
       throw new HttpError(404, "no such resource");
   }
@@ -96,8 +102,8 @@
 async function change(
   backend: OperatorBackend,
   req: OperatorRequest,
-): Promise<ChangeAnswer> {
-  const request = readValue(await req.body(), changeRequestFormat);
+): Promise<ChangeResponse> {
+  const request = validateValue(await req.body(), changeRequestFormat);
   if (request.change.kind === "edit") {
     const { findings } = check(request.change.preset);
     if (findings.length > 0) {
@@ -111,9 +117,9 @@
   return await backend.accept({ ...request, who: req.who });
 }
 
-function check(value: unknown): CheckAnswer {
+function check(value: unknown): CheckResponse {
   try {
-    readValue(value, presetFormat);
+    validateValue(value, presetFormat);
     return { findings: [] };
   } catch (err) {
     if (err instanceof FindingsError) {
--- a/packages/daemon/src/operator_backend.ts
+++ b/packages/daemon/src/operator_backend.ts
@@ -10,11 +10,11 @@
 import type {
   AuditEntry,
   AuditRange,
-  ChangeAnswer,
   ChangeRequest,
+  ChangeResponse,
   ExplainRequest,
   Explanation,
-  LookupAnswer,
+  LookupResponse,
   PresetSummary,
   Status,
 } from "@poplarthread/operator-api";
@@ -34,7 +34,7 @@
   status(): Status;
   /** What is in force here; undefined before the first is known. */
   configuration(): Configuration | undefined;
-  accept(change: OperatorChange): Promise<ChangeAnswer>;
+  accept(change: OperatorChange): Promise<ChangeResponse>;
   audit(range: AuditRange): Promise<readonly AuditEntry[]>;
   presets(): Promise<readonly PresetSummary[]>;
   /** The latest version, or the one asked for; undefined where there is none. */
@@ -42,7 +42,7 @@
   /** The audit entries of its edits and switches, newest first. */
   presetHistory(id: PresetId): Promise<readonly AuditEntry[]>;
   /** The answer that callers in `clientZone` get; without it, in this VM's zone. */
-  lookup(clientZone?: ZoneId): LookupAnswer;
+  lookup(clientZone?: ZoneId): LookupResponse;
   explain(request: ExplainRequest): Explanation;
 }
 
--- a/packages/daemon/src/paced_timer.ts
+++ b/packages/daemon/src/paced_timer.ts
@@ -22,7 +22,7 @@
   }
 
   /** Schedules the work in `ms` milliseconds, unless it is already due earlier. */
-  dueIn(ms: number): void {
+  scheduleWithin(ms: number): void {
     const dueAt = performance.now() + ms;
     if (this.#isClosed || dueAt >= this.#dueAt) {
       return;
@@ -32,7 +32,7 @@
     this.#timer = setTimeout(() => this.#fire(), ms);
   }
 
-  /** Cancels the next run; later calls of {@link dueIn} do nothing. */
+  /** Cancels the next run; later calls of {@link scheduleWithin} do nothing. */
   close(): void {
     this.#isClosed = true;
     clearTimeout(this.#timer);
@@ -40,6 +40,6 @@
 
   #fire(): void {
     this.#dueAt = Infinity;
-    this.dueIn(this.#work(performance.now()));
+    this.scheduleWithin(this.#work(performance.now()));
   }
 }
--- a/packages/daemon/src/paced_timer_test.ts
+++ b/packages/daemon/src/paced_timer_test.ts
@@ -14,7 +14,7 @@
     runs += 1;
     return 100;
   });
-  timer.dueIn(0);
+  timer.scheduleWithin(0);
   vi.advanceTimersByTime(1_000);
   expect(runs).toBe(11);
   timer.close();
@@ -29,10 +29,10 @@
     return 100;
   });
   const start = performance.now();
-  timer.dueIn(100);
+  timer.scheduleWithin(100);
   vi.advanceTimersByTime(10);
-  timer.dueIn(20);
-  timer.dueIn(50);
+  timer.scheduleWithin(20);
+  timer.scheduleWithin(50);
   vi.advanceTimersByTime(110);
   expect(ranAt.map((at) => at - start)).toEqual([30]);
   timer.close();
@@ -41,9 +41,9 @@
 test("a closed timer does no work", () => {
   const work = vi.fn(() => 10);
   const timer = new PacedTimer(work);
-  timer.dueIn(10);
+  timer.scheduleWithin(10);
   timer.close();
-  timer.dueIn(5);
+  timer.scheduleWithin(5);
   vi.advanceTimersByTime(100);
   expect(work).not.toHaveBeenCalled();
 });
--- a/packages/daemon/src/peers/peer_network.ts
+++ b/packages/daemon/src/peers/peer_network.ts
@@ -129,7 +129,7 @@
     server.maxConnections = MAX_INBOUND;
     this.#server = server;
     await listen(server, { host, port }, (err) => this.fail(err));
-    this.every(SWEEP_MS, { kind: "sweep" });
+    this.sendEvery(SWEEP_MS, { kind: "sweep" });
   }
 
   protected override receive(message: PeerNetworkMessage): void {
--- a/packages/daemon/src/plan_task.ts
+++ b/packages/daemon/src/plan_task.ts
@@ -141,7 +141,7 @@
     this.#openedAt = performance.now();
     this.#planning = new Planning();
     this.#contend();
-    this.every(TICK_MS, { kind: "tick" });
+    this.sendEvery(TICK_MS, { kind: "tick" });
     this.#step();
   }
 
--- a/packages/daemon/src/silent_log.ts
+++ b/packages/daemon/src/silent_log.ts
@@ -12,6 +12,6 @@
   warn: () => undefined,
   info: () => undefined,
   debug: () => undefined,
-  debugs: false,
-  dropped: 0,
+  isDebugEnabled: false,
+  droppedLines: 0,
 };
--- a/packages/daemon/src/slot_loans.ts
+++ b/packages/daemon/src/slot_loans.ts
@@ -88,7 +88,7 @@
   }
 
   protected override open(): void {
-    this.every(TICK_MS, { kind: "tick" });
+    this.sendEvery(TICK_MS, { kind: "tick" });
   }
 
   protected override receive(message: SlotLoansMessage): void {
--- a/packages/daemon/src/supervisor.ts
+++ b/packages/daemon/src/supervisor.ts
@@ -8,7 +8,12 @@
 
 import { messageOf, RestartLimitError } from "./errors.ts";
 import type { TaskStatus } from "@poplarthread/operator-api";
-import { type Parent, type Supervised, Task, type TaskState } from "./task.ts";
+import {
+  type Parent,
+  type SupervisedTask,
+  Task,
+  type TaskState,
+} from "./task.ts";
 
 /** When a supervisor restarts a failed task, and when it gives up. */
 export interface RestartPolicy {
@@ -38,7 +43,7 @@
 }
 
 interface Child {
-  readonly task: Supervised;
+  readonly task: SupervisedTask;
   state: TaskState;
   restarts: number;
   lastError: string | undefined;
@@ -68,7 +73,7 @@
   }
 
   /** Adds a task; it starts with the supervisor, after the tasks added before it. */
-  add(task: Supervised): void {
+  add(task: SupervisedTask): void {
     this.#children.push({
       task,
       state: "stopped",
@@ -153,7 +158,7 @@
       this.#policy.maxDelayMs,
     );
     child.recentRestarts.push(now);
-    this.after(delayMs, { kind: "restart", child });
+    this.sendAfter(delayMs, { kind: "restart", child });
   }
 
   async #restart(child: Child): Promise<void> {
--- a/packages/daemon/src/supervisor_test.ts
+++ b/packages/daemon/src/supervisor_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, test, vi } from "vitest";
 import { type RestartPolicy, Supervisor } from "./supervisor.ts";
-import { type Supervised, Task } from "./task.ts";
+import { type SupervisedTask, Task } from "./task.ts";
 
 type WorkerMessage = { readonly kind: "work" } | { readonly kind: "crash" };
 
@@ -46,7 +46,7 @@
   supervisor.add(other);
   const failures: unknown[] = [];
   const parent = {
-    failed: (_: Supervised, err: unknown) => failures.push(err),
+    failed: (_: SupervisedTask, err: unknown) => failures.push(err),
   };
   return { supervisor, worker, other, failures, parent, log };
 }
--- a/packages/daemon/src/target_poller.ts
+++ b/packages/daemon/src/target_poller.ts
@@ -54,7 +54,7 @@
   }
 
   protected override open(): void {
-    this.every(TICK_MS, { kind: "tick" });
+    this.sendEvery(TICK_MS, { kind: "tick" });
   }
 
   protected override receive(message: TargetPollerMessage): void {
--- a/packages/daemon/src/task.ts
+++ b/packages/daemon/src/task.ts
@@ -6,7 +6,7 @@
  */
 
 /** A task as its supervisor sees it, whatever messages it handles. */
-export interface Supervised {
+export interface SupervisedTask {
   readonly name: string;
   /** Resolves when the task is ready for messages and requests. */
   start(parent: Parent): Promise<void>;
@@ -17,7 +17,7 @@
 /** The supervisor of a task, as the task sees it. */
 export interface Parent {
   /** The task cannot continue; called at most once per start. */
-  failed(task: Supervised, err: unknown): void;
+  failed(task: SupervisedTask, err: unknown): void;
 }
 
 /** Base of all messages; a task handles a union discriminated by `kind`. */
@@ -33,7 +33,8 @@
  * sent; a message sent while another is being handled is queued. An error thrown by
  * `receive` fails the task, never the sender.
  */
-export abstract class Task<M extends Message = Message> implements Supervised {
+export abstract class Task<M extends Message = Message>
+  implements SupervisedTask {
   readonly name: string;
   #parent: Parent | undefined;
   #running = false;
@@ -112,13 +113,13 @@
   protected abstract close(): Promise<void> | void;
 
   /** Sends `message` to this task every `periodMs`, until the task stops. */
-  protected every(periodMs: number, message: M): void {
+  protected sendEvery(periodMs: number, message: M): void {
     const timer = setInterval(() => this.send(message), periodMs);
     this.#timers.add(timer);
   }
 
   /** Sends `message` to this task once, after `delayMs`, unless the task stops first. */
-  protected after(delayMs: number, message: M): void {
+  protected sendAfter(delayMs: number, message: M): void {
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
       this.send(message);
--- a/packages/daemon/src/testing.ts
+++ b/packages/daemon/src/testing.ts
@@ -13,9 +13,9 @@
 import {
   type Preset,
   presetFormat,
-  readValue,
   type Settings,
   settingsFormat,
+  validateValue,
 } from "@poplarthread/config";
 import { nextPlan, type TargetEntry } from "@poplarthread/decisions";
 import type {
@@ -42,7 +42,7 @@
 const SERVICE = "shop" as ServiceId;
 
 /** Two routes: pages may be repeated, orders run at most once. */
-export const TEST_PRESET: Preset = readValue({
+export const TEST_PRESET: Preset = validateValue({
   id: "test",
   about: "For tests",
   regions: [{ id: REGION, zones: [ZONE] }],
@@ -88,7 +88,7 @@
 /** Settings that listen on loopback ports of the system's choice. */
 export function testSettings(limits: Partial<Settings["limits"]>): Settings {
   const listener = { host: "127.0.0.1", port: 0 };
-  return readValue({
+  return validateValue({
     vm: VM,
     region: REGION,
     zone: ZONE,
--- a/packages/daemon/src/vm_list_task.ts
+++ b/packages/daemon/src/vm_list_task.ts
@@ -42,7 +42,7 @@
 
   protected override open(): void {
     this.#reading = false;
-    this.every(READER_MS, { kind: "tick" });
+    this.sendEvery(READER_MS, { kind: "tick" });
     this.#readAt = -Infinity;
     this.#read();
   }
--- a/packages/model/src/freshness_model.ts
+++ b/packages/model/src/freshness_model.ts
@@ -49,7 +49,7 @@
 interface Answer {
   readonly knowsOfRemoval: boolean;
   /** Freshness reported by the process; undefined for the table. */
-  readonly word: freshness.FreshnessWord | undefined;
+  readonly word: freshness.FreshnessReport | undefined;
 }
 
 interface Process {
@@ -246,7 +246,7 @@
   const process = processes[of]!;
   return {
     knowsOfRemoval: process.knowsOfRemoval,
-    word: core.freshnessWord(process.knownSince, {
+    word: core.freshnessReport(process.knownSince, {
       askedAt: arrivedAt!,
       answeredAt: steadyClock(process),
     }),
@@ -267,15 +267,15 @@
   const now = steadyClock(process);
   const { knowsOfRemoval, word } = answer!;
   const since = word === undefined
-    ? core.knownSinceReading({ startedAt, endedAt: now })
-    : core.knownSinceWord(word, { askedAt: startedAt, answeredAt: now });
+    ? core.knownSinceRead({ startedAt, endedAt: now })
+    : core.knownSinceReport(word, { askedAt: startedAt, answeredAt: now });
   return {
     ...state,
     calls,
     processes: state.processes.with(by, {
       ...process,
       knowsOfRemoval: process.knowsOfRemoval || knowsOfRemoval,
-      knownSince: core.newest(process.knownSince, since),
+      knownSince: core.laterKnownSince(process.knownSince, since),
     }),
   };
 }
--- a/packages/model/src/held_back_model.ts
+++ b/packages/model/src/held_back_model.ts
@@ -223,11 +223,11 @@
 ): readonly HeldBackMessage[] {
   switch (input.kind) {
     case "died":
-      return table.targetDied(input.target, input.inFlight, now);
+      return table.targetCrashed(input.target, input.inFlight, now);
     case "completed":
       return table.completed(OTHER, now);
     case "heard":
-      table.hear(input.message, now);
+      table.receive(input.message, now);
       return [];
   }
 }
--- a/packages/operator-api/src/client.ts
+++ b/packages/operator-api/src/client.ts
@@ -13,13 +13,13 @@
 import { Pool } from "undici";
 import type {
   AuditEntry,
-  ChangeAnswer,
   ChangeRequest,
-  CheckAnswer,
-  ErrorAnswer,
+  ChangeResponse,
+  CheckResponse,
+  ErrorResponse,
   ExplainRequest,
   Explanation,
-  LookupAnswer,
+  LookupResponse,
   PresetSummary,
   Status,
 } from "./types.ts";
@@ -28,12 +28,12 @@
 export class OperatorApiError extends Error {
   override readonly name = "OperatorApiError";
   readonly status: number;
-  readonly answer: ErrorAnswer | undefined;
+  readonly errorBody: ErrorResponse | undefined;
 
-  constructor(message: string, status: number, answer?: ErrorAnswer) {
+  constructor(message: string, status: number, answer?: ErrorResponse) {
     super(message);
     this.status = status;
-    this.answer = answer;
+    this.errorBody = answer;
   }
 }
 
@@ -77,12 +77,12 @@
     return await this.#call(`/v1/presets/${preset}/history`) as AuditEntry[];
   }
 
-  async check(preset: Preset): Promise<CheckAnswer> {
-    return await this.#call("/v1/check", preset) as CheckAnswer;
+  async check(preset: Preset): Promise<CheckResponse> {
+    return await this.#call("/v1/check", preset) as CheckResponse;
   }
 
-  async change(change: ChangeRequest): Promise<ChangeAnswer> {
-    return await this.#call("/v1/changes", change) as ChangeAnswer;
+  async change(change: ChangeRequest): Promise<ChangeResponse> {
+    return await this.#call("/v1/changes", change) as ChangeResponse;
   }
 
   /** Fetches the newest audit entries, or the newest before a revision. */
@@ -97,9 +97,9 @@
     ) as AuditEntry[];
   }
 
-  async lookup(zone?: ZoneId): Promise<LookupAnswer> {
+  async lookup(zone?: ZoneId): Promise<LookupResponse> {
     const query = zone === undefined ? "" : `?zone=${zone}`;
-    return await this.#call(`/v1/lookup${query}`) as LookupAnswer;
+    return await this.#call(`/v1/lookup${query}`) as LookupResponse;
   }
 
   async explain(request: ExplainRequest): Promise<Explanation> {
@@ -115,7 +115,7 @@
     if (res.status >= 200 && res.status < 300) {
       return res.body;
     }
-    const error = res.body as ErrorAnswer;
+    const error = res.body as ErrorResponse;
     throw new OperatorApiError(
       `Cannot call ${path}: ${error.message}`,
       res.status,
--- a/packages/operator-api/src/formats.ts
+++ b/packages/operator-api/src/formats.ts
@@ -7,8 +7,8 @@
 
 import * as z from "zod";
 import {
+  type DocumentFormat,
   type DrainSubject,
-  type Format,
   presetSchema,
 } from "@poplarthread/config";
 import type { OperationId, PresetId } from "@poplarthread/ids";
@@ -41,7 +41,7 @@
 });
 
 /** Body of `POST /v1/changes`. The preset's checks across fields run separately. */
-export const changeRequestFormat: Format<ChangeRequest> = {
+export const changeRequestFormat: DocumentFormat<ChangeRequest> = {
   subject: "the change",
   schema: changeRequest,
   crossCheck: () => [],
@@ -54,7 +54,7 @@
 });
 
 /** Body of `POST /v1/explain`. */
-export const explainRequestFormat: Format<ExplainRequest> = {
+export const explainRequestFormat: DocumentFormat<ExplainRequest> = {
   subject: "the request to explain",
   schema: explainRequest,
   crossCheck: () => [],
--- a/packages/operator-api/src/types.ts
+++ b/packages/operator-api/src/types.ts
@@ -8,14 +8,14 @@
  * | `GET /v1/presets`                    | {@link PresetSummary} list    |
  * | `GET /v1/presets/NAME[?version=N]`   | `PresetVersion`               |
  * | `GET /v1/presets/NAME/history`       | {@link AuditEntry} list       |
- * | `POST /v1/check` with a preset       | {@link CheckAnswer}           |
- * | `POST /v1/changes`                   | {@link ChangeAnswer}          |
+ * | `POST /v1/check` with a preset       | {@link CheckResponse}           |
+ * | `POST /v1/changes`                   | {@link ChangeResponse}          |
  * | `GET /v1/audit[?before=R&limit=N]`   | {@link AuditEntry} list, newest first |
- * | `GET /v1/lookup[?zone=Z]`            | {@link LookupAnswer}          |
+ * | `GET /v1/lookup[?zone=Z]`            | {@link LookupResponse}          |
  * | `POST /v1/explain`                   | {@link Explanation}           |
  *
  * Each request needs `authorization: Bearer TOKEN`; the token identifies the operator.
- * The body of an error response is {@link ErrorAnswer}.
+ * The body of an error response is {@link ErrorResponse}.
  *
  * @module
  */
@@ -172,7 +172,7 @@
 }
 
 /** Outcome of a change request. */
-export type ChangeAnswer =
+export type ChangeResponse =
   | { readonly kind: "accepted"; readonly revision: number }
   /** Another change was accepted first; nothing was written. */
   | {
@@ -199,7 +199,7 @@
   };
 
 /** Result of checking a preset; no findings means that it would be accepted. */
-export interface CheckAnswer {
+export interface CheckResponse {
   readonly findings: readonly Finding[];
 }
 
@@ -213,7 +213,7 @@
 }
 
 /** Response to a look-up. */
-export interface LookupAnswer {
+export interface LookupResponse {
   /** The entry VMs, best first. */
   readonly vms: readonly LookupVm[];
   /** How long a caller may cache the response, in milliseconds. */
@@ -246,7 +246,7 @@
   };
 
 /** Body of a response with an error status. */
-export interface ErrorAnswer {
+export interface ErrorResponse {
   readonly message: string;
   readonly findings?: readonly Finding[];
 }
--- a/packages/placement/src/account_credit.ts
+++ b/packages/placement/src/account_credit.ts
@@ -43,7 +43,7 @@
 /** Rate at which credit accrues, and the maximum balance. */
 export interface CreditLimit {
   readonly perSecond: number;
-  readonly most: number;
+  readonly maxCredit: number;
 }
 
 /** A VM that can own credit. */
@@ -79,7 +79,7 @@
  * Shares of a region's credit held by its first and second owner. The second one
  * serves alone while the first one is down.
  */
-export const KEEPER_PARTS: readonly number[] = [0.7, 0.3];
+export const OWNER_SHARES: readonly number[] = [0.7, 0.3];
 
 /** Limit on an account's total credit, such that no window exceeds the bound. */
 export function creditLimit(quota: Quota, bound: QuotaBound): CreditLimit {
@@ -89,24 +89,27 @@
   const burst = allowed * BURST_SHARE;
   return {
     perSecond: (allowed * ALLOCATED_SHARE - burst) / windowS,
-    most: burst,
+    maxCredit: burst,
   };
 }
 
 /** The given share of a limit. */
-export function partOf(limit: CreditLimit, share: number): CreditLimit {
-  return { perSecond: limit.perSecond * share, most: limit.most * share };
+export function scaleLimit(limit: CreditLimit, share: number): CreditLimit {
+  return {
+    perSecond: limit.perSecond * share,
+    maxCredit: limit.maxCredit * share,
+  };
 }
 
 /** The owners of an account's credit in a region, the first owner first. */
-export function keepersOf<T extends CreditOwner>(
+export function creditOwners<T extends CreditOwner>(
   account: string,
   vms: readonly T[],
 ): readonly T[] {
   const hash = hashText(account);
   return vms.toSorted((a, b) =>
     pairWeight(hash, b.hash) - pairWeight(hash, a.hash)
-  ).slice(0, KEEPER_PARTS.length);
+  ).slice(0, OWNER_SHARES.length);
 }
 
 /** Credit balance that accrues over time, starting at zero. */
@@ -137,7 +140,7 @@
    * if all refused callers were given the same delay, they would return together
    * for the credit of one request.
    */
-  promise(limit: CreditLimit, now: number): number {
+  scheduleRetry(limit: CreditLimit, now: number): number {
     this.#accrue(limit, now);
     const accrueMs = 1_000 / limit.perSecond;
     const earliest = now + Math.max(0, 1 - this.#credit) * accrueMs;
@@ -149,9 +152,9 @@
   }
 
   /** Whether the balance is so low that credit should be borrowed. */
-  isShort(limit: CreditLimit, now: number): boolean {
+  isLow(limit: CreditLimit, now: number): boolean {
     this.#accrue(limit, now);
-    return this.#credit < limit.most * BORROW_BELOW_SHARE;
+    return this.#credit < limit.maxCredit * BORROW_BELOW_SHARE;
   }
 
   /** Lends spare credit to another owner. It is deducted from this balance. */
@@ -160,7 +163,7 @@
     { asked, now }: { readonly asked: number; readonly now: number },
   ): number {
     this.#accrue(limit, now);
-    const spare = Math.floor(this.#credit - limit.most * LEND_ABOVE_SHARE);
+    const spare = Math.floor(this.#credit - limit.maxCredit * LEND_ABOVE_SHARE);
     const lent = Math.max(0, Math.min(asked, spare));
     this.#credit -= lent;
     return lent;
@@ -170,15 +173,15 @@
    * Adds credit lent by another owner, up to the maximum balance; the excess is
    * lost.
    */
-  borrowed(
+  addBorrowed(
     limit: CreditLimit,
     { lent, now }: { readonly lent: number; readonly now: number },
   ): void {
     this.#accrue(limit, now);
-    this.#credit = Math.min(limit.most, this.#credit + lent);
+    this.#credit = Math.min(limit.maxCredit, this.#credit + lent);
   }
 
-  #accrue({ perSecond, most: max }: CreditLimit, now: number): void {
+  #accrue({ perSecond, maxCredit: max }: CreditLimit, now: number): void {
     const accrued = (now - this.#accruedAt) / 1_000 * perSecond;
     // The balance must hold at least one request, or an account with a small quota
     // would never be served.
--- a/packages/placement/src/account_credit_test.ts
+++ b/packages/placement/src/account_credit_test.ts
@@ -10,9 +10,9 @@
 import {
   CreditBucket,
   creditLimit,
-  KEEPER_PARTS,
-  keepersOf,
-  partOf,
+  creditOwners,
+  OWNER_SHARES,
+  scaleLimit,
 } from "./account_credit.ts";
 import { hashText } from "./hash.ts";
 
@@ -32,9 +32,9 @@
   { lengthMs, restartsAt }: { lengthMs: number; restartsAt: readonly number[] },
 ): readonly number[] {
   const limit = creditLimit(quota, BOUND);
-  const owners = Array.from({ length: REGIONS }, () => KEEPER_PARTS).flat()
+  const owners = Array.from({ length: REGIONS }, () => OWNER_SHARES).flat()
     .map((share) => ({
-      limit: partOf(limit, share / REGIONS),
+      limit: scaleLimit(limit, share / REGIONS),
       bucket: new CreditBucket(0),
     }));
   const times: number[] = [];
@@ -90,15 +90,15 @@
   });
 
   test("reports when there will be credit again", () => {
-    const limit = { perSecond: 4, most: 2 };
+    const limit = { perSecond: 4, maxCredit: 2 };
     const bucket = new CreditBucket(0);
-    expect(bucket.promise(limit, 0)).toBe(250);
+    expect(bucket.scheduleRetry(limit, 0)).toBe(250);
     expect(bucket.take(limit, 240)).toBe(false);
     expect(bucket.take(limit, 260)).toBe(true);
   });
 
   test("is deducted from the lender when it is lent, and no bucket exceeds its maximum", () => {
-    const limit = { perSecond: 10, most: 10 };
+    const limit = { perSecond: 10, maxCredit: 10 };
     fc.assert(
       fc.property(
         fc.array(
@@ -117,7 +117,7 @@
             now += stepMs;
             const lent = lender.lend(limit, { asked, now });
             if (!isLost) {
-              borrower.borrowed(limit, { lent, now });
+              borrower.addBorrowed(limit, { lent, now });
             }
             while (borrower.take(limit, now)) {
               granted += 1;
@@ -135,9 +135,12 @@
   test("is scheduled for refused requests one after the other", () => {
     // Fifty callers are refused at once. With the same delay for all of them, they
     // would return together, and all but one would be refused again.
-    const limit = { perSecond: 10, most: 5 };
+    const limit = { perSecond: 10, maxCredit: 5 };
     const bucket = new CreditBucket(0);
-    const promised = Array.from({ length: 50 }, () => bucket.promise(limit, 0));
+    const promised = Array.from(
+      { length: 50 },
+      () => bucket.scheduleRetry(limit, 0),
+    );
     expect(promised.slice(0, 3)).toEqual([100, 200, 300]);
     for (const at of promised) {
       expect(bucket.take(limit, at)).toBe(true);
@@ -151,8 +154,8 @@
     region: "north" as RegionId,
     hash: hashText(`vm-${at}`),
   }));
-  const owners = keepersOf("anna", vms);
-  expect(keepersOf("anna", vms.toReversed())).toEqual(owners);
+  const owners = creditOwners("anna", vms);
+  expect(creditOwners("anna", vms.toReversed())).toEqual(owners);
   const remaining = vms.filter((vm) => vm !== owners[0]);
-  expect(keepersOf("anna", remaining)[0]).toBe(owners[1]);
+  expect(creditOwners("anna", remaining)[0]).toBe(owners[1]);
 });
--- a/packages/placement/src/choose.ts
+++ b/packages/placement/src/choose.ts
@@ -14,7 +14,7 @@
  */
 
 import type { TargetId } from "@poplarthread/ids";
-import type { Place, PlacedTarget } from "./target.ts";
+import type { Location, PlacedTarget } from "./target.ts";
 
 /** Current properties of a target that determine its cost. */
 export interface TargetCosts {
@@ -98,7 +98,7 @@
 /** Parameters that are common to all candidates. */
 export interface ChoiceParams {
   /** Location of this VM. */
-  readonly from: Place;
+  readonly from: Location;
   readonly weights: PlacementWeights;
   /** Time that a target with the object cached saves for a request of this kind. */
   readonly savedMs: number;
--- a/packages/placement/src/choose_test.ts
+++ b/packages/placement/src/choose_test.ts
@@ -154,7 +154,7 @@
     }
     const at = (now: number) =>
       steering.place(
-        { ...requestFor("draft", { now: 0 }), answerBy: 2_000 },
+        { ...requestFor("draft", { now: 0 }), deadlineAt: 2_000 },
         { now, ahead: 0 },
       );
     expect(at(10).kind).toBe("wait");
--- a/packages/placement/src/initial_candidates_test.ts
+++ b/packages/placement/src/initial_candidates_test.ts
@@ -22,7 +22,7 @@
 function steering(initialCandidates?: number): Steering {
   const one = new Steering({
     vm: "vm-north" as VmId,
-    place: { region: "north" as RegionId, zone: "north-1" as ZoneId },
+    location: { region: "north" as RegionId, zone: "north-1" as ZoneId },
     retries: { ratio: 0.2, fixed: 50, windowMs: 10_000 },
     ...(initialCandidates === undefined ? {} : { initialCandidates }),
   });
@@ -76,7 +76,7 @@
     object: 1,
     regions: [],
     arrivedAt: now,
-    answerBy: now + 60_000,
+    deadlineAt: now + 60_000,
     tried: new Set(),
   }, { now, ahead: 0 });
 }
@@ -88,10 +88,10 @@
 ): void {
   switch (step.kind) {
     case "lost":
-      one.unreachable(target, now);
+      one.markUnreachable(target, now);
       return;
     case "back":
-      TARGETS.forEach(({ id }) => one.probeAnswered(id, { now, coldMs: 0 }));
+      TARGETS.forEach(({ id }) => one.probeSucceeded(id, { now, coldMs: 0 }));
       return;
     case "answered":
       one.sent(target, now);
--- a/packages/placement/src/limits_test.ts
+++ b/packages/placement/src/limits_test.ts
@@ -13,7 +13,7 @@
 import { ownerOf } from "./target_owners.ts";
 import { requestFor, steeringIn, targetIn } from "./testing.ts";
 import { WeightedSplit } from "./weighted_split.ts";
-import { WaitingRoom } from "./waiting_room.ts";
+import { WaitQueue } from "./wait_queue.ts";
 
 const TARGET = "t" as TargetId;
 const COLD_PER_SECOND = 5;
@@ -177,12 +177,12 @@
 
 describe("queued requests", () => {
   test("are ordered by priority, then by whether they can meet their latency objective, then by arrival", () => {
-    const queue = new WaitingRoom();
+    const queue = new WaitQueue();
     const account = undefined;
-    const read = { priority: 2, aimAt: 500, account };
-    const lateOrder = { priority: 0, aimAt: 50, account };
-    const order = { priority: 0, aimAt: 400, account };
-    const second = { priority: 0, aimAt: 300, account };
+    const read = { priority: 2, objectiveAt: 500, account };
+    const lateOrder = { priority: 0, objectiveAt: 50, account };
+    const order = { priority: 0, objectiveAt: 400, account };
+    const second = { priority: 0, objectiveAt: 300, account };
     [read, lateOrder, order, second].forEach((one) => queue.add(one));
     expect(queue.inOrder(100)).toEqual([order, second, lateOrder, read]);
   });
--- a/packages/placement/src/long_requests_test.ts
+++ b/packages/placement/src/long_requests_test.ts
@@ -60,7 +60,7 @@
       }
     }
     if (now % CHECK_INTERVAL_MS === 0) {
-      steering.checkSilence(now).forEach((id) =>
+      steering.findUnresponsive(now).forEach((id) =>
         takenOut.push({ id, at: now })
       );
     }
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -9,11 +9,11 @@
   type CreditLimit,
   creditLimit,
   type CreditOwner,
-  KEEPER_PARTS,
-  keepersOf,
-  partOf,
+  creditOwners,
+  OWNER_SHARES,
   type Quota,
   type QuotaBound,
+  scaleLimit,
 } from "./account_credit.ts";
 export {
   type Choice,
@@ -33,13 +33,13 @@
 } from "./relays.ts";
 export { RoundTrips } from "./round_trips.ts";
 export { ServiceTimes } from "./service_times.ts";
-export type { Place, PlacedTarget, SteeredTarget } from "./target.ts";
-export { type HealthState, TargetHealth } from "./target_belief.ts";
-export type { NamedLimit } from "./target_limits.ts";
+export type { Location, PlacedTarget, SteeredTarget } from "./target.ts";
+export { type HealthState, TargetHealth } from "./target_health.ts";
+export type { ReportedLimit } from "./target_limits.ts";
 export { type LoadReport, TargetLoad } from "./target_load.ts";
 export { ownerOf, type TargetOwner } from "./target_owners.ts";
 export { type SplitPart, WeightedSplit } from "./weighted_split.ts";
-export { type Waiting, WaitingRoom } from "./waiting_room.ts";
+export { type QueuedRequest, WaitQueue } from "./wait_queue.ts";
 export { type HashedPair, WarmObjects, type WarmPair } from "./warm_objects.ts";
 export type {
   AttemptResult,
--- a/packages/placement/src/placement.ts
+++ b/packages/placement/src/placement.ts
@@ -23,7 +23,7 @@
   readonly regions: readonly RegionId[];
   readonly arrivedAt: number;
   /** When the timeout of its caller or of its route expires. */
-  readonly answerBy: number;
+  readonly deadlineAt: number;
   /** Targets that must not receive it again. */
   readonly tried: ReadonlySet<TargetId>;
 }
--- a/packages/placement/src/agreed_order.ts
+++ b/packages/placement/src/rendezvous_order.ts
@@ -8,13 +8,13 @@
 
 import type { RegionId } from "@poplarthread/ids";
 import { hashText, pairWeight } from "./hash.ts";
-import type { Place, PlacedTarget } from "./target.ts";
+import type { Location, PlacedTarget } from "./target.ts";
 
 /** Parameters of a rendezvous order. */
 export interface RendezvousOrderParams {
   readonly object: number;
   /** Location of this VM. */
-  readonly from: Place;
+  readonly from: Location;
   /** Whether the object has a home in this VM's region. */
   readonly isHomeHere: boolean;
 }
--- a/packages/placement/src/round_trips.ts
+++ b/packages/placement/src/round_trips.ts
@@ -5,7 +5,7 @@
  */
 
 import type { ZoneId } from "@poplarthread/ids";
-import type { Place } from "./target.ts";
+import type { Location } from "./target.ts";
 
 /**
  * Used until a zone has been measured: for the same zone, the same region, and
@@ -20,15 +20,15 @@
 
 /** Round trips from this VM in milliseconds. */
 export class RoundTrips {
-  readonly #local: Place;
+  readonly #local: Location;
   readonly #measuredMs = new Map<ZoneId, number>();
 
-  constructor(local: Place) {
+  constructor(local: Location) {
     this.#local = local;
   }
 
   /** Records that a connection to a target of `zone` took `ms` to establish. */
-  measured(zone: ZoneId, ms: number): void {
+  record(zone: ZoneId, ms: number): void {
     const before = this.#measuredMs.get(zone);
     this.#measuredMs.set(
       zone,
@@ -39,7 +39,7 @@
   }
 
   /** The round trip to a location. */
-  to(place: Place): number {
+  to(place: Location): number {
     const measured = this.#measuredMs.get(place.zone);
     if (measured !== undefined) {
       return measured;
--- a/packages/placement/src/steering.ts
+++ b/packages/placement/src/steering.ts
@@ -30,10 +30,10 @@
 } from "./placement.ts";
 import { RoundTrips } from "./round_trips.ts";
 import { ServiceTimes } from "./service_times.ts";
-import type { Place, SteeredTarget } from "./target.ts";
-import { TargetHealth } from "./target_belief.ts";
+import type { Location, SteeredTarget } from "./target.ts";
+import { TargetHealth } from "./target_health.ts";
 import { TargetIndex } from "./target_index.ts";
-import type { NamedLimit } from "./target_limits.ts";
+import type { ReportedLimit } from "./target_limits.ts";
 import { TargetLoad } from "./target_load.ts";
 import type { TargetOwner } from "./target_owners.ts";
 import { TargetRates } from "./target_rates.ts";
@@ -42,14 +42,14 @@
 /** Configuration of {@link Steering}. */
 export interface SteeringOptions {
   readonly vm: VmId;
-  readonly place: Place;
+  readonly location: Location;
   readonly retries: RetryBound;
   readonly weights?: PlacementWeights;
   /**
    * Called when the other VMs should be notified that a target is warm for an
    * object.
    */
-  warmed?(pair: HashedPair): void;
+  onWarmPair?(pair: HashedPair): void;
   /**
    * Number of targets, in rendezvous order, that are compared before all of them
    * are; defaults to {@link INITIAL_CANDIDATES}.
@@ -136,8 +136,8 @@
     this.#rates = new TargetRates(options.vm);
     this.#weights = options.weights ?? DEFAULT_WEIGHTS;
     this.#initialCandidates = options.initialCandidates ?? INITIAL_CANDIDATES;
-    this.#index = new TargetIndex(options.place);
-    this.roundTrips = new RoundTrips(options.place);
+    this.#index = new TargetIndex(options.location);
+    this.roundTrips = new RoundTrips(options.location);
   }
 
   /** Sets the reachable VMs, including this one. */
@@ -212,7 +212,7 @@
   }
 
   /** Records another VM's notification that a target is warm for an object. */
-  heardWarm({ object, target }: HashedPair, now: number): void {
+  addWarmPair({ object, target }: HashedPair, now: number): void {
     const id = this.#idsByHash.get(target);
     if (id !== undefined) {
       this.#warmObjects.recordRemoteUse({ object, target: id }, now);
@@ -243,7 +243,7 @@
    * Takes one retry from the service's retry budget; false if the budget is used
    * up.
    */
-  spendRetry(service: ServiceId, now: number): boolean {
+  takeRetry(service: ServiceId, now: number): boolean {
     return this.#retryBudget(service).trySpend(now, this.#rates.totalVms);
   }
 
@@ -261,7 +261,7 @@
       return refusal("no-target", this.#retryAfterMs(request, now));
     }
     const choice = this.#choose(initial, request, now);
-    const remainingMs = request.answerBy - now;
+    const remainingMs = request.deadlineAt - now;
     const chosen = choice && this.#index.get(choice.target);
     if (choice !== undefined && chosen && this.#hasCapacity(chosen, now)) {
       return choice.expectedMs + serviceMs / 2 > remainingMs
@@ -275,7 +275,7 @@
     const waitMs = this.#drainRate(request.service)
       .waitMs(request.priority, { now, ahead });
     const waitsUntil = now + waitMs;
-    const maxWaitMs = (request.answerBy - request.arrivedAt) * MAX_WAIT_SHARE;
+    const maxWaitMs = (request.deadlineAt - request.arrivedAt) * MAX_WAIT_SHARE;
     return waitsUntil > request.arrivedAt + maxWaitMs
       ? refusal("overload", waitMs)
       : { kind: "wait" };
@@ -338,7 +338,7 @@
    * Applies the rate limit that a target has reported, to this VM or to another
    * one; true if it differs from the known one.
    */
-  limitNamed(id: TargetId, limit: NamedLimit): boolean {
+  updateLimit(id: TargetId, limit: ReportedLimit): boolean {
     return this.#index.get(id) !== undefined &&
       this.#rates.updateLimit(id, limit);
   }
@@ -347,12 +347,12 @@
    * The target has refused a request and asked this VM to send nothing until
    * `until`.
    */
-  rests(id: TargetId, until: number): void {
+  backOff(id: TargetId, until: number): void {
     this.#index.get(id)?.health.backOff(until);
   }
 
   /** Marks the target unreachable: no connection could be established. */
-  unreachable(id: TargetId, now: number): void {
+  markUnreachable(id: TargetId, now: number): void {
     const entry = this.#index.get(id);
     if (entry !== undefined) {
       entry.health.markUnreachable(now);
@@ -364,7 +364,7 @@
    * Marks the target usable after a successful probe. It is cold for the next
    * `coldMs`.
    */
-  probeAnswered(
+  probeSucceeded(
     id: TargetId,
     { now, coldMs }: { now: number; coldMs: number },
   ): void {
@@ -379,7 +379,7 @@
    * Checks all targets with pending requests and returns those that have become
    * unresponsive since the last call.
    */
-  checkSilence(now: number): readonly TargetId[] {
+  findUnresponsive(now: number): readonly TargetId[] {
     const unresponsive: TargetId[] = [];
     for (const entry of this.#withPendingRequests) {
       const { target, load, health } = entry;
@@ -438,7 +438,7 @@
       return;
     }
     if (this.#warmObjects.recordUse({ object, target: target.id }, now)) {
-      this.#options.warmed?.({ object, target: target.hash });
+      this.#options.onWarmPair?.({ object, target: target.hash });
     }
   }
 
@@ -599,7 +599,7 @@
       });
     }
     return choose(candidates, {
-      from: this.#options.place,
+      from: this.#options.location,
       weights: this.#weights,
       savedMs: this.#kindTimes.savedMs(kind),
     });
--- a/packages/placement/src/target.ts
+++ b/packages/placement/src/target.ts
@@ -33,7 +33,7 @@
 }
 
 /** Location of a VM or target. */
-export interface Place {
+export interface Location {
   readonly zone: ZoneId;
   readonly region: RegionId;
 }
--- a/packages/placement/src/target_belief_test.ts
+++ b/packages/placement/src/target_health_test.ts
@@ -5,7 +5,7 @@
  */
 
 import { describe, expect, test } from "vitest";
-import { TargetHealth } from "./target_belief.ts";
+import { TargetHealth } from "./target_health.ts";
 import { TargetLoad } from "./target_load.ts";
 
 describe("a target that stops responding", () => {
--- a/packages/placement/src/target_index.ts
+++ b/packages/placement/src/target_index.ts
@@ -17,9 +17,9 @@
   hasHome,
   rendezvousOrder,
   type RendezvousOrderParams,
-} from "./agreed_order.ts";
+} from "./rendezvous_order.ts";
 import { homeShares } from "./home_shares.ts";
-import type { Place, SteeredTarget } from "./target.ts";
+import type { Location, SteeredTarget } from "./target.ts";
 
 /** An indexed item. Its target may be replaced by an updated one. */
 export interface TargetEntry {
@@ -54,14 +54,14 @@
 
 /** Index of targets with cached rendezvous orders. */
 export class TargetIndex<T extends TargetEntry> {
-  readonly #from: Place;
+  readonly #from: Location;
   readonly #entries = new Map<TargetId, T>();
   readonly #services = new Map<ServiceId, ServiceTargets<T>>();
   #vmsByRegion: ReadonlyMap<RegionId, number> = new Map();
   #evacuated: ReadonlySet<string> = new Set();
 
   /** `from` is the location of this VM. */
-  constructor(from: Place) {
+  constructor(from: Location) {
     this.#from = from;
   }
 
--- a/packages/placement/src/target_index_test.ts
+++ b/packages/placement/src/target_index_test.ts
@@ -7,13 +7,13 @@
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
 import type { RegionId, ServiceId, TargetId, ZoneId } from "@poplarthread/ids";
-import { firstInOrder, hasHome, rendezvousOrder } from "./agreed_order.ts";
+import { firstInOrder, hasHome, rendezvousOrder } from "./rendezvous_order.ts";
 import { hashText } from "./hash.ts";
 import { homeShares } from "./home_shares.ts";
-import type { Place, SteeredTarget } from "./target.ts";
+import type { Location, SteeredTarget } from "./target.ts";
 import { TargetIndex } from "./target_index.ts";
 
-const FROM: Place = {
+const FROM: Location = {
   zone: "north-1" as ZoneId,
   region: "north" as RegionId,
 };
--- a/packages/placement/src/target_limits.ts
+++ b/packages/placement/src/target_limits.ts
@@ -14,7 +14,7 @@
 import { hasUnusedSlice } from "./time_slices.ts";
 
 /** A rate limit as a target reported it. */
-export interface NamedLimit {
+export interface ReportedLimit {
   /**
    * Requests per second that the target accepts from all VMs together; undefined if
    * it no longer has a limit.
@@ -73,7 +73,7 @@
    * Applies a report received from a target or relayed by another VM; true if the
    * limit has changed.
    */
-  update(target: TargetId, { perSecond, at }: NamedLimit): boolean {
+  update(target: TargetId, { perSecond, at }: ReportedLimit): boolean {
     const known = this.#limits.get(target);
     if (known === undefined) {
       if (perSecond !== undefined) {
--- a/packages/placement/src/target_limits_test.ts
+++ b/packages/placement/src/target_limits_test.ts
@@ -125,7 +125,7 @@
     const fleet = new Fleet(1, [LIMITED]);
     const { steering } = fleet.vms[0]!;
     for (const end of ["restarted", "removeTarget"] as const) {
-      steering.limitNamed(LIMITED.id, { perSecond: 1, at: 0 });
+      steering.updateLimit(LIMITED.id, { perSecond: 1, at: 0 });
       steering[end](LIMITED.id);
       expect(steering.limitedTargets).toBe(0);
     }
--- a/packages/placement/src/target_rates.ts
+++ b/packages/placement/src/target_rates.ts
@@ -14,7 +14,7 @@
 import { ColdTargets } from "./cold_targets.ts";
 import { hashText, pairWeight } from "./hash.ts";
 import type { SteeredTarget } from "./target.ts";
-import { type NamedLimit, TargetLimits } from "./target_limits.ts";
+import { type ReportedLimit, TargetLimits } from "./target_limits.ts";
 import { type TargetOwner, TargetOwners } from "./target_owners.ts";
 
 /**
@@ -65,7 +65,7 @@
   }
 
   /** Applies a limit that a target reported; true if it has changed. */
-  updateLimit(target: TargetId, limit: NamedLimit): boolean {
+  updateLimit(target: TargetId, limit: ReportedLimit): boolean {
     return this.#limits.update(target, limit);
   }
 
--- a/packages/placement/src/testing.ts
+++ b/packages/placement/src/testing.ts
@@ -34,7 +34,7 @@
     object: hashText(object),
     regions: [],
     arrivedAt: now,
-    answerBy: now + DEADLINE_MS,
+    deadlineAt: now + DEADLINE_MS,
     tried: new Set(),
   };
 }
@@ -82,7 +82,7 @@
 ): Steering {
   const steering = new Steering({
     vm: `vm-${region}` as VmId,
-    place: { region: region as RegionId, zone: `${region}-1` as ZoneId },
+    location: { region: region as RegionId, zone: `${region}-1` as ZoneId },
     retries: { ratio: 0.2, fixed: 50, windowMs: 10_000 },
   });
   steering.setVms(vms.map((name) => ({
--- a/packages/placement/src/testing_fleet.ts
+++ b/packages/placement/src/testing_fleet.ts
@@ -156,7 +156,7 @@
     const { now } = this;
     this.#place(vm, object, {
       ...requestFor(object, { now }),
-      answerBy: now + DEADLINE_MS,
+      deadlineAt: now + DEADLINE_MS,
     });
   }
 
@@ -217,11 +217,11 @@
     }
     const limit = { perSecond, at: now };
     if (
-      steering.limitNamed(target, limit) && this.updateDelayMs !== undefined
+      steering.updateLimit(target, limit) && this.updateDelayMs !== undefined
     ) {
       this.#after(
         this.updateDelayMs,
-        () => this.vms.forEach((vm) => vm.steering.limitNamed(target, limit)),
+        () => this.vms.forEach((vm) => vm.steering.updateLimit(target, limit)),
       );
     }
   }
@@ -229,7 +229,7 @@
   #steering(vm: VmId, region: RegionId): Steering {
     const steering = new Steering({
       vm,
-      place: { region, zone: `${region}-1` as ZoneId },
+      location: { region, zone: `${region}-1` as ZoneId },
       retries: { ratio: 0.2, fixed: 50, windowMs: 10_000 },
     });
     this.#targets.forEach((target) => steering.setTarget(target));
