--- a/packages/placement/src/waiting_room.ts
+++ b/packages/placement/src/wait_queue.ts
@@ -18,11 +18,11 @@
 import type { AccountId } from "@poplarthread/ids";
 
 /** A request that waits. */
-export interface Waiting {
+export interface QueuedRequest {
   /** Priority rank of its route; 0 is the most urgent. */
   readonly priority: number;
   /** When its latency objective expires, in milliseconds of the monotonic clock. */
-  readonly aimAt: number;
+  readonly objectiveAt: number;
   /**
    * The client account that it belongs to; requests without one count as one
    * account.
@@ -37,7 +37,7 @@
 }
 
 /** Priority queue of one service's requests with fair queueing among accounts. */
-export class WaitingRoom<T extends Waiting> {
+export class WaitQueue<T extends QueuedRequest> {
   readonly #items: QueuedItem<T>[] = [];
   /** The last start tag given to each account since the queue was last empty. */
   readonly #lastTags = new Map<AccountId | undefined, number>();
@@ -47,7 +47,7 @@
   }
 
   /** Number of queued requests that go before a new one of `priority`. */
-  ahead(priority: number): number {
+  countAhead(priority: number): number {
     let count = 0;
     for (const { request } of this.#items) {
       count += request.priority <= priority ? 1 : 0;
@@ -76,7 +76,8 @@
   inOrder(now: number): readonly T[] {
     return this.#items.toSorted((a, b) =>
       a.request.priority - b.request.priority ||
-      Number(a.request.aimAt < now) - Number(b.request.aimAt < now) ||
+      Number(a.request.objectiveAt < now) -
+        Number(b.request.objectiveAt < now) ||
       a.startTag - b.startTag
     ).map(({ request }) => request);
   }
--- a/packages/placement/src/waiting_room_test.ts
+++ b/packages/placement/src/wait_queue_test.ts
@@ -7,24 +7,24 @@
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
 import type { AccountId } from "@poplarthread/ids";
-import { type Waiting, WaitingRoom } from "./waiting_room.ts";
+import { type QueuedRequest, WaitQueue } from "./wait_queue.ts";
 
 const NEVER_LATE = 1_000_000;
 
-interface Named extends Waiting {
+interface Named extends QueuedRequest {
   readonly name: string;
 }
 
 function request(account: string | undefined, name: string): Named {
   return {
     priority: 0,
-    aimAt: NEVER_LATE,
+    objectiveAt: NEVER_LATE,
     account: account as AccountId | undefined,
     name,
   };
 }
 
-function names(queue: WaitingRoom<Named>): readonly string[] {
+function names(queue: WaitQueue<Named>): readonly string[] {
   return queue.inOrder(0).map(({ name }) => name);
 }
 
@@ -33,7 +33,7 @@
     // One account sends a hundred requests at once. In order of arrival, the only
     // request of another account would wait for all of them, and its caller would
     // give up.
-    const queue = new WaitingRoom<Named>();
+    const queue = new WaitQueue<Named>();
     for (let at = 0; at < 100; at++) {
       queue.add(request("busy", `busy-${at}`));
     }
@@ -42,7 +42,7 @@
   });
 
   test("keep their positions when requests leave out of order", () => {
-    const queue = new WaitingRoom<Named>();
+    const queue = new WaitQueue<Named>();
     const busy = Array.from(
       { length: 50 },
       (_, at) => request("busy", `busy-${at}`),
@@ -54,7 +54,7 @@
   });
 
   test("with a tenth of another's load have all requests served at twice the capacity", () => {
-    const queue = new WaitingRoom<Named>();
+    const queue = new WaitQueue<Named>();
     const served = new Map<string, number>();
     const asked = new Map<string, number>();
     const add = (account: string) => {
@@ -81,7 +81,7 @@
       fc.constantFrom("one", undefined),
       fc.array(fc.constantFrom("add", "first", "last"), { maxLength: 40 }),
       (account, steps) => {
-        const queue = new WaitingRoom<Named>();
+        const queue = new WaitQueue<Named>();
         const expected: Named[] = [];
         steps.forEach((step, at) => {
           if (step === "add") {
--- a/packages/standins/src/cluster/operator_changes.ts
+++ b/packages/standins/src/cluster/operator_changes.ts
@@ -8,7 +8,10 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Change, Preset } from "@poplarthread/config";
 import { id, type OperationId } from "@poplarthread/ids";
-import type { ChangeAnswer, OperatorClient } from "@poplarthread/operator-api";
+import type {
+  ChangeResponse,
+  OperatorClient,
+} from "@poplarthread/operator-api";
 import { waitFor } from "./wait.ts";
 
 /** A change and its reason. */
@@ -31,7 +34,7 @@
 export async function submitChange(
   operator: OperatorClient,
   requested: RequestedChange,
-): Promise<ChangeAnswer> {
+): Promise<ChangeResponse> {
   const seenRevision = requested.seenRevision ??
     (await operator.status()).revision;
   const operation = id<OperationId>(randomUUID());
