--- a/packages/coordination/src/claims/attempt.ts
+++ b/packages/coordination/src/claims/attempt.ts
@@ -1,11 +1,11 @@
 /**
- * The core of one sending of a keyed request: from the claim to the record of
- * its outcome.
+ * The state machine of one attempt at a keyed request, from the claim to the
+ * record of its outcome.
  *
- * Two rules carry everything. An attempt dispatches only after it saw its own
- * claim in the table, by a commit that was answered or by reading it back. And
- * a closed attempt never dispatches, whatever the table answers later; that is
- * why "not run" stays true even though its claim may still land.
+ * It rests on two rules. An attempt dispatches only after it has seen its own
+ * claim in the table, by a confirmed commit or by reading the row back. A closed
+ * attempt never dispatches, whatever the table returns later, so a reported
+ * "not run" stays true even if a delayed write of its claim still commits.
  *
  * @module
  */
@@ -22,43 +22,43 @@
   type StoredAnswer,
 } from "./claim_row.ts";
 
-/** How far "not run" reaches when a sending is refused. */
+/** What "not run" covers when an attempt is refused. */
 export type NotRunProof =
-  /** The table showed that no sending of this key had run. */
+  /** The table showed that no attempt with this key had run. */
   | "key"
   /**
-   * This sending did not run and never will. Whether an earlier one ran could
-   * not be asked, so nothing may be said of the request as a whole.
+   * This attempt did not run and never will. Whether an earlier one ran could
+   * not be determined, so nothing is known about the request as a whole.
    */
   | "this-sending";
 
-/** What the caller of a sending is told when it is not to run. */
+/** Why an attempt may not run, as reported to the caller. */
 export type ClaimRefusal =
-  /** It ran before; this was its answer. */
+  /** An earlier attempt ran, with this response. */
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
-  /** It ran before; its answer was too large to keep. */
+  /** An earlier attempt ran; its response was too large to store. */
   | { readonly kind: "answered-unkept"; readonly status: number }
-  /** The key was used for another request. */
+  /** The key was used for a different request. */
   | { readonly kind: "key-reused" }
-  /** An earlier sending may have run it. */
+  /** An earlier attempt may have run. */
   | { readonly kind: "unknown" }
-  /** An earlier sending still runs. */
+  /** An earlier attempt is still running. */
   | { readonly kind: "running" }
-  /** This sending does not run. */
+  /** This attempt does not run. */
   | { readonly kind: "not-run"; readonly proof: NotRunProof };
 
-/** What the instance that holds a claim says about it. */
+/** The response of the instance that holds a claim. */
 export type HolderAnswer =
-  /** That attempt never ran and never will, or its outcome stands in the table. */
+  /** That attempt never ran and never will, or its outcome is in the table. */
   | { readonly kind: "free" }
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
   | { readonly kind: "answered-unkept"; readonly status: number }
   | { readonly kind: "unknown" }
-  /** Still at it after the time that the asker would wait. */
+  /** Still running when the querying instance's wait time ran out. */
   | { readonly kind: "running" }
-  /** The holder's instance is gone, as far as membership can tell. */
+  /** The holder's instance has ended, according to membership. */
   | { readonly kind: "dead" }
-  /** The holder did not answer. */
+  /** The holder did not respond. */
   | { readonly kind: "unreachable" };
 
 /** How a dispatched request ended. */
@@ -66,94 +66,94 @@
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
   | { readonly kind: "answered-unkept"; readonly status: number }
   | { readonly kind: "unknown" }
-  /** Nothing was sent, or the target said that it refused before running. */
+  /** Nothing was sent, or the target reported that it refused without running. */
   | { readonly kind: "not-run" };
 
-/** Where an attempt stands. */
+/** State of an attempt. */
 export type AttemptPhase =
-  /** Its claim is on its way to the table, over a row of that version. */
+  /** Writing its claim over the row version `over`. */
   | { readonly kind: "claiming"; readonly over: number }
-  /** The answer was lost: reads its claim back. */
+  /** The write's response was lost: reading the row back. */
   | { readonly kind: "reading"; readonly over: number }
-  /** Another attempt holds the claim: asks its instance. */
+  /** Another attempt holds the claim: querying its instance. */
   | { readonly kind: "asking"; readonly row: ClaimRow; readonly over: number }
-  /** The claim is ours, seen in the table; not dispatched. */
+  /** This attempt's claim is confirmed in the table; not dispatched. */
   | { readonly kind: "claimed"; readonly version: number }
-  /** May run at the target. */
+  /** May be running at the target. */
   | { readonly kind: "dispatched"; readonly version: number }
-  /** Its outcome is on its way to the table. */
+  /** Writing its outcome to the table. */
   | {
     readonly kind: "recording";
     readonly version: number;
     readonly record: ClaimRecord;
   }
-  /** Over for this instance. */
+  /** Finished on this instance. */
   | { readonly kind: "closed" };
 
-/** One sending. */
+/** One attempt at a keyed request. */
 export interface Attempt {
   readonly id: AttemptId;
   readonly claim: ClaimId;
   readonly instance: InstanceId;
   readonly bodyDigest: string;
   readonly claimedAt: number;
-  /** Whether the table showed, during this attempt, that no sending had run. */
+  /** Whether the table showed, during this attempt, that no attempt had run. */
   readonly keyNeverRan: boolean;
-  /** Claims written so far. */
+  /** Number of claim writes so far. */
   readonly tries: number;
   readonly phase: AttemptPhase;
 }
 
-/** What happens to an attempt. */
+/** Input of the state machine. */
 export type AttemptEvent =
-  /** The claim or the record was committed. */
+  /** The write of the claim or the outcome committed. */
   | { readonly kind: "committed" }
-  /** The claim's row is not what the write expected; this is what it is. */
+  /** The write's condition failed; `row` is the current row. */
   | { readonly kind: "conflict"; readonly row: Row }
   | { readonly kind: "failed"; readonly effect: TableEffect }
-  /** The row as read back. */
+  /** The row was read back. */
   | { readonly kind: "row"; readonly row: Row }
   | { readonly kind: "holder"; readonly answer: HolderAnswer }
-  /** A slot is there: about to send to a target. */
+  /** A slot is available: about to send to a target. */
   | { readonly kind: "dispatch" }
-  /** The run ended, or was given up before dispatch. */
+  /** The run ended, or was cancelled before dispatch. */
   | { readonly kind: "ended"; readonly outcome: RunOutcome }
-  /** The caller's deadline passed, or the caller left, before the claim was ours. */
+  /** The caller's deadline passed, or the caller left, before dispatch. */
   | { readonly kind: "expired" };
 
-/** What the task around an attempt has to do. */
+/** Action to be carried out by the task that drives the attempt. */
 export type AttemptEffect =
-  /** Write this row if it still has version `over`. */
+  /** Write this row if its version is still `over`. */
   | { readonly kind: "write"; readonly over: number; readonly row: ClaimRow }
   | { readonly kind: "read" }
-  /** Ask the holder named in the row. */
+  /** Query the holder named in the row. */
   | { readonly kind: "ask"; readonly row: ClaimRow }
-  /** The sending may now be dispatched, by a `dispatch` event. */
+  /** The attempt may now be dispatched, by a `dispatch` event. */
   | { readonly kind: "granted" }
-  /** Send it to a target, now. */
+  /** Send the request to a target now. */
   | { readonly kind: "send" }
-  /** Tell the caller. */
+  /** Report the refusal to the caller. */
   | { readonly kind: "refuse"; readonly refusal: ClaimRefusal };
 
-/** An attempt with what is to be done. */
+/** The new state of an attempt, with the actions to carry out. */
 export interface AttemptResult {
   readonly attempt: Attempt;
   readonly effects: readonly AttemptEffect[];
 }
 
-/** What a new attempt needs. */
+/** Identity and origin of a new attempt. */
 export type NewAttempt = Pick<
   Attempt,
   "id" | "claim" | "instance" | "bodyDigest" | "claimedAt"
 >;
 
 /**
- * An outage is answered at once, since its read fails too. Three tries cover a
- * lost answer and an abandoned claim of an earlier sending.
+ * Three writes cover a lost response and an abandoned claim of an earlier
+ * attempt. In an outage no further try follows, since the read back fails too.
  */
 const MAX_TRIES = 3;
 
-/** Starts by claiming over an absent row: most requests are first sendings. */
+/** Starts by claiming over an absent row, since most requests are no duplicates. */
 export function startAttempt(options: NewAttempt): AttemptResult {
   const attempt: Attempt = {
     ...options,
@@ -164,7 +164,7 @@
   return claimOver(attempt, ABSENT);
 }
 
-/** The attempt after `event`. Events that no longer matter change nothing. */
+/** Applies `event` to the attempt. Events that do not apply to its current phase are ignored. */
 export function advanceAttempt(
   attempt: Attempt,
   event: AttemptEvent,
@@ -185,7 +185,7 @@
   }
 }
 
-/** Key of the row that the attempt writes. */
+/** Row key of the attempt's claim. */
 export function attemptKey(attempt: Attempt): string {
   return claimKey(attempt.claim);
 }
@@ -273,8 +273,8 @@
   }
   const claim = claimOf(row);
   if (claim === undefined) {
-    // The lost write may still land. Writing it again is safe: both have the
-    // same condition, so one of them at most takes effect.
+    // The lost write may still commit. Writing again is safe: both writes have
+    // the same condition, so at most one of them takes effect.
     return claimOver({ ...attempt, keyNeverRan: true }, ABSENT);
   }
   if (claim.bodyDigest !== attempt.bodyDigest) {
@@ -282,11 +282,11 @@
   }
   return claim.attempt === attempt.id
     ? grant(attempt, row.version)
-    : resolveOther(attempt, claim, row.version);
+    : resolveExisting(attempt, claim, row.version);
 }
 
-/** Another sending came first: its record says what to tell this one. */
-function resolveOther(
+/** Another attempt claimed first: its record decides what happens to this one. */
+function resolveExisting(
   attempt: Attempt,
   claim: ClaimRow,
   over: number,
@@ -315,8 +315,9 @@
 ): AttemptResult {
   switch (answer.kind) {
     case "free":
-      // Free may also mean that the outcome was recorded since we read the
-      // row. Then its version moved on, and the write finds the record.
+      // `free` may also mean that the outcome was recorded after the row was
+      // read. Then its version has changed, and the write conflicts and returns
+      // the record.
       return claimOver(attempt, phase.over);
     case "answered":
     case "answered-unkept":
@@ -367,7 +368,7 @@
   );
 }
 
-/** The outcome is written until the table has it; until then the attempt is remembered. */
+/** The write of the outcome is retried until it is in the table; until then the attempt stays in memory. */
 function whileRecording(
   attempt: Attempt,
   phase: Extract<AttemptPhase, { kind: "recording" }>,
@@ -375,9 +376,9 @@
 ): AttemptResult {
   switch (event.kind) {
     case "committed":
-    // Only this attempt moves its row on from that version, so a conflict
-    // means that an earlier write of this record took effect, or that an
-    // abandoned claim was taken over.
+    // Only this attempt changes its row from that version, so a conflict means
+    // that an earlier write of this record took effect, or that an abandoned
+    // claim was taken over.
     case "conflict":
       return to(attempt, { kind: "closed" });
     case "failed":
@@ -392,9 +393,9 @@
 }
 
 /**
- * What an instance answers about one of its attempts; undefined stands for one
- * that it does not remember. An attempt is forgotten only when it is closed,
- * and a closed one never dispatches: it may be called free.
+ * The response of an instance about one of its attempts; undefined stands for
+ * one that is not in memory. An attempt is removed from memory only when it is
+ * closed, and a closed one never dispatches, so `free` is safe.
  */
 export function answerForHolder(attempt: Attempt | undefined): HolderAnswer {
   switch (attempt?.phase.kind) {
--- a/packages/coordination/src/claims/batch.ts
+++ b/packages/coordination/src/claims/batch.ts
@@ -1,70 +1,72 @@
 /**
  * The core of group commit: conditional writes of many requests share one
- * transaction of the table.
+ * table transaction.
  *
- * The platform takes several hundred writes a second from all VMs together.
- * One transaction for each claim and one for each record would end there;
- * gathered, as many requests as fit into a transaction cost one write.
+ * The platform accepts several hundred writes a second from all VMs together.
+ * With separate transactions for each claim and each outcome, that would cap
+ * the request rate. In a batch, all requests that fit cost one write.
  *
  * @module
  */
 
 import type { Json, Row, TableEffect, Transaction } from "../table.ts";
 
-/** Rows in one transaction; table services commonly allow 100. */
+/** Maximum rows per transaction; table services commonly allow 100. */
 export const MAX_BATCH_ROWS = 100;
 
 /**
- * Writes that one VM may send a second: 240 of 300, by 12 VMs. The rest is left
- * for leases, plans and the configuration, which must not wait behind callers.
+ * Write rate of one VM. 12 VMs use 240 of the platform's 300 writes a second;
+ * the rest is reserved for leases, plans and the configuration, which must not
+ * wait behind callers' requests.
  */
 export const VM_WRITES_PER_SECOND = 20;
 
-/** Sets a row if it still has version `over`. */
+/** Sets a row if its current version is `over`. */
 export interface ConditionalWrite {
   readonly key: string;
   readonly over: number;
   readonly value: Json;
 }
 
-/** How one write of a batch ended. */
+/** Result of one write of a batch. */
 export type WriteResult =
   | { readonly kind: "committed" }
-  /** Nothing was written; this is the row. */
+  /** Nothing was written; `row` is the current row. */
   | { readonly kind: "conflict"; readonly row: Row }
   | { readonly kind: "failed"; readonly effect: TableEffect };
 
-/** A write that waits for its transaction. */
+/** A write that is queued or in flight. */
 export interface PendingWrite {
   readonly write: ConditionalWrite;
   readonly settle: (result: WriteResult) => void;
 }
 
-/** Writes of one transaction. No two of them are on the same row. */
+/** Writes of one transaction, each to a different row. */
 export interface Batch {
   readonly items: readonly PendingWrite[];
 }
 
-/** How often batches go out. */
+/** Rate and size of batches. */
 export interface BatchOptions {
   readonly writesPerSecond?: number;
   readonly maxRows?: number;
 }
 
-/** Gathers writes into batches, one in flight at a time. */
+/** Collects writes into batches, with one batch in flight at a time. */
 export class Batcher {
-  readonly #gapMs: number;
+  readonly #intervalMs: number;
   readonly #maxRows: number;
   #queue: PendingWrite[] = [];
   #inFlight = false;
   #nextAt = -Infinity;
 
   constructor(options: BatchOptions = {}) {
-    this.#gapMs = 1_000 / (options.writesPerSecond ?? VM_WRITES_PER_SECOND);
+    this.#intervalMs = 1_000 /
+      (options.writesPerSecond ?? VM_WRITES_PER_SECOND);
     this.#maxRows = options.maxRows ?? MAX_BATCH_ROWS;
   }
 
-  /** Writes that wait. */
+  /** Number of queued writes. */
   get length(): number {
     return this.#queue.length;
   }
@@ -73,7 +75,7 @@
     this.#queue.push(item);
   }
 
-  /** When the next batch may go out; undefined while one is in flight or nothing waits. */
+  /** When the next batch may be sent; undefined while one is in flight or the queue is empty. */
   get dueAt(): number | undefined {
     return this.#inFlight || this.#queue.length === 0
       ? undefined
@@ -81,8 +83,9 @@
   }
 
   /**
-   * The batch to send now. After a pause the first one goes out at once; only
-   * under load does a write wait for the gap, at most 1 / writesPerSecond.
+   * Takes the batch to send now. After an idle period the first write is sent
+   * immediately; only under load does a write wait for the interval between
+   * batches, at most 1 / writesPerSecond.
    */
   take(now: number): Batch | undefined {
     const dueAt = this.dueAt;
@@ -91,32 +94,32 @@
     }
     const keys = new Set<string>();
     const items: PendingWrite[] = [];
-    const rest: PendingWrite[] = [];
+    const remaining: PendingWrite[] = [];
     for (const item of this.#queue) {
       const fits = items.length < this.#maxRows && !keys.has(item.write.key);
-      // A second sending of the same key would make its own transaction
-      // conflict with itself; it goes with the next batch, in order.
+      // Two writes to one row would make the transaction conflict with itself;
+      // the second stays in the queue, in order, for a later batch.
       keys.add(item.write.key);
-      (fits ? items : rest).push(item);
+      (fits ? items : remaining).push(item);
     }
-    this.#queue = rest;
+    this.#queue = remaining;
     this.#inFlight = true;
-    this.#nextAt = now + this.#gapMs;
+    this.#nextAt = now + this.#intervalMs;
     return { items };
   }
 
-  /** The whole batch took effect. */
+  /** Handles a committed batch. */
   committed(batch: Batch): void {
     this.#inFlight = false;
     batch.items.forEach((item) => item.settle({ kind: "committed" }));
   }
 
-  /** Nothing took effect: the writes in conflict are told, the others go first next time. */
+  /** Handles a conflict: settles the conflicting writes and puts the others back at the head of the queue. */
   conflicted(batch: Batch, rows: readonly Row[]): void {
     this.#inFlight = false;
     const byKey = new Map(rows.map((row) => [row.key, row]));
-    const innocent = batch.items.filter(({ write }) => !byKey.has(write.key));
-    this.#queue = [...innocent, ...this.#queue];
+    const unaffected = batch.items.filter(({ write }) => !byKey.has(write.key));
+    this.#queue = [...unaffected, ...this.#queue];
     for (const { write, settle } of batch.items) {
       const row = byKey.get(write.key);
       if (row !== undefined) {
@@ -125,13 +128,13 @@
     }
   }
 
-  /** The call failed; each write must find out for itself what became of it. */
+  /** Handles a failed call. Each writer has to check whether its own write took effect. */
   failed(batch: Batch, effect: TableEffect): void {
     this.#inFlight = false;
     batch.items.forEach((item) => item.settle({ kind: "failed", effect }));
   }
 
-  /** Fails what waits: none of it was sent. */
+  /** Fails all queued writes, none of which was sent. */
   refuseQueued(): void {
     const queue = this.#queue;
     this.#queue = [];
--- a/packages/coordination/src/claims/claim_row.ts
+++ b/packages/coordination/src/claims/claim_row.ts
@@ -1,5 +1,5 @@
 /**
- * The row of one keyed request in the table.
+ * The table row of a request with an idempotency key.
  *
  * @module
  */
@@ -8,63 +8,63 @@
 import type { Brand, IdempotencyKey, InstanceId } from "@poplarthread/ids";
 import { ABSENT, type Json, type Row } from "../table.ts";
 
-/** Names a keyed request in all VMs: a digest of the key and of who used it. */
+/** Identifies a keyed request on all VMs: a digest of its scope and key. */
 export type ClaimId = Brand<"ClaimId">;
-/** One sending of a keyed request, as one instance took it in. Never used twice. */
+/** Identifies one attempt at a keyed request, as received by one instance. Never reused. */
 export type AttemptId = Brand<"AttemptId">;
 
-/** Prefix of the claims' keys. */
+/** Key prefix of claim rows. */
 export const CLAIM_PREFIX = "claim/";
 
-/** An answer as it is kept for repeats. */
+/** A response as stored for duplicates of its request. */
 export interface StoredAnswer {
   readonly status: number;
   readonly headers: readonly (readonly [string, string])[];
-  /** Body in base64, so that any bytes survive. */
+  /** Body in base64, since the table stores JSON and a body may hold any bytes. */
   readonly bodyBase64: string;
 }
 
-/** What became of the request. */
+/** State of the request. */
 export type ClaimRecord =
-  /** Taken by an attempt that may run it at any moment. */
+  /** Claimed by an attempt that may run it at any time. */
   | { readonly kind: "claimed" }
-  /** Ran, and this was its answer. */
+  /** Ran, with this response. */
   | { readonly kind: "answered"; readonly answer: StoredAnswer }
-  /** Ran, but its answer was larger than what is kept. */
+  /** Ran, but its response exceeded the size limit for storing. */
   | { readonly kind: "answered-unkept"; readonly status: number }
-  /** Was sent; nobody knows whether it ran. */
+  /** Was sent to a target; whether it ran is unknown. */
   | { readonly kind: "unknown" }
-  /** Never ran and that attempt never will: free for the next one. */
+  /** That attempt never ran and never will: another may claim the request. */
   | { readonly kind: "abandoned" };
 
 /** Value of `claim/ID`. */
 export interface ClaimRow {
   readonly attempt: AttemptId;
   readonly instance: InstanceId;
-  /** Digest of method, path and body: the same key with another body is a mistake. */
+  /** Digest of method, path and body, to detect reuse of a key for another request. */
   readonly bodyDigest: string;
-  /** Wall-clock ms of the VM that claimed; only for the expiry after a day. */
+  /** Wall-clock time in ms on the claiming VM; used only for the expiry after a day. */
   readonly claimedAt: number;
   readonly record: ClaimRecord;
 }
 
-/** The claim that a caller's key names. Keys of different callers never meet. */
+/** The claim for a caller's key. Equal keys in different scopes give different claims. */
 export function claimId(scope: string, key: IdempotencyKey): ClaimId {
   const text = JSON.stringify([scope, key]);
   return createHash("sha256").update(text).digest("hex") as ClaimId;
 }
 
-/** Key of the row of a claim. */
+/** Row key of a claim. */
 export function claimKey(claim: ClaimId): string {
   return CLAIM_PREFIX + claim;
 }
 
-/** What the row says; undefined while nobody claimed. */
+/** Decodes a row; undefined if the request is unclaimed. */
 export function claimOf(row: Row): ClaimRow | undefined {
   return row.version === ABSENT ? undefined : row.value as unknown as ClaimRow;
 }
 
-/** A row's value as the table takes it. */
+/** The claim as a table value. */
 export function claimJson(claim: ClaimRow): Json {
   return claim as unknown as Json;
 }
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -1,6 +1,6 @@
 /**
- * Lets a keyed request run at most once, whichever VMs it is sent to, and gives
- * each repeat the first one's answer.
+ * Runs a request with an idempotency key at most once, whichever VMs receive
+ * it, and returns the stored response to duplicates.
  *
  * @module
  */
@@ -29,113 +29,114 @@
 } from "./claim_row.ts";
 import { GroupCommit, OUTAGE_PROBE_MS } from "./group_commit.ts";
 
-/** Attempts remembered at once: of about 1 KB, 20 MB. Past it new ones are refused as not run. */
+/** Maximum attempts in memory: 20 MB at about 1 KB each. Beyond it, new attempts are refused as not run. */
 const MAX_ATTEMPTS = 20_000;
-/** Longest time that a repeat waits for the first sending before it is told to come back. */
+/** Maximum time that a duplicate waits for the running attempt before it is told to retry. */
 const MAX_HOLDER_WAIT_MS = 30_000;
-/** When to come back to a request that still runs. */
+/** Retry-After for a request that is still running. */
 const RUNNING_RETRY_MS = 1_000;
-/** When to come back to a claim whose holder does not answer: longer than a heartbeat timeout. */
+/** Retry-After if the claim's holder does not respond: longer than a heartbeat timeout. */
 const UNKNOWN_RETRY_MS = 5_000;
 
-/** When to come back in an outage: within a few probes, and not all of a second's callers a second later. */
+/** Retry-After in a table outage: a few probe intervals, and long enough that one second's callers do not all return in the next second. */
 const NOT_RUN_RETRY_MS = 2_000;
 
-/** A question to the instance that holds a claim. */
+/** A query to the instance that holds a claim. */
 export interface HolderQuestion {
   readonly instance: InstanceId;
   readonly claim: ClaimId;
   readonly attempt: AttemptId;
 }
 
-/** The port to the other instances. */
+/** Interface to the other instances. */
 export interface ClaimHolders {
   /**
-   * Asks the instance, which waits up to `waitMs` for the outcome. Answers
+   * Queries the instance, which waits up to `waitMs` for the outcome. Returns
    * `dead` only if that instance can never dispatch again, and `unreachable`
-   * where it may live; never throws.
+   * if it may still be alive. Never throws.
    */
-  ask(question: HolderQuestion, waitMs: number): Promise<HolderAnswer>;
+  ask(query: HolderQuestion, waitMs: number): Promise<HolderAnswer>;
 }
 
-/** What {@link RequestClaims} works with. */
+/** Options of {@link RequestClaims}. */
 export interface RequestClaimsOptions extends BatchOptions {
   readonly table: Table;
-  /** This life of the process; never used again by another one. */
+  /** Identifies this run of the process; never reused by another run. */
   readonly instance: InstanceId;
   readonly holders: ClaimHolders;
 }
 
-/** One sending of a keyed request. */
+/** One attempt at a request with an idempotency key. */
 export interface KeyedRequest {
-  /** Who used the key, for example the caller; equal keys of two scopes never meet. */
+  /** Namespace of the key, for example the caller; equal keys in different scopes are independent. */
   readonly scope: string;
   readonly key: IdempotencyKey;
   /** Digest of method, path and body. */
   readonly bodyDigest: string;
-  /** Time left until the caller gives up, in ms. */
+  /** Time left until the caller gives up. */
   readonly timeLeftMs: number;
 }
 
-/** What a sending may do. */
+/** Whether an attempt may run. */
 export type ClaimOutcome =
-  /** It may run, by this grant alone. */
+  /** It may run, under this grant only. */
   | { readonly kind: "granted"; readonly grant: ClaimGrant }
   | {
     readonly kind: "refused";
     readonly refusal: ClaimRefusal;
-    /** When asking again is worthwhile; undefined where it never is. */
+    /** When to retry; undefined if a retry can never succeed. */
     readonly retryAfterMs: number | undefined;
   };
 
-/** The right to run one request once. Every grant must be ended. */
+/** Permission to run one request once. Every grant must be ended. */
 export interface ClaimGrant {
   /**
-   * Call directly before the first byte goes to a target. False: do not send;
-   * the caller's time is over, or the grant was used.
+   * Call immediately before the first byte is sent to a target. If false, do not
+   * send: the caller's deadline has passed, or the grant is already used.
    */
   dispatch(): boolean;
   /**
-   * How it ended. Before `dispatch` only `not-run` is true; after it, `not-run`
-   * only if the target said so.
+   * Reports the outcome. Before `dispatch` only `not-run` is valid; afterwards,
+   * `not-run` only if the target said so.
    */
   end(outcome: RunOutcome): void;
 }
 
-interface Tracked {
+/** An attempt in progress and how to settle it. */
+interface TrackedAttempt {
   attempt: Attempt;
   readonly refuse: (refusal: ClaimRefusal) => void;
   readonly grant: (grant: ClaimGrant) => void;
   readonly waitMs: number;
-  /** When the caller gives up, by the monotonic clock. */
+  /** When the caller gives up, on the monotonic clock. */
   readonly deadline: number;
-  /** Peers that wait for the outcome. */
+  /** Wakes the peers that wait for the outcome. */
   readonly waiters: (() => void)[];
 }
 
-/** The claims of one instance. */
+/** Manages the claims of one instance. */
 export class RequestClaims {
   readonly #options: RequestClaimsOptions;
   readonly #commits: GroupCommit;
-  readonly #tracked = new Map<AttemptId, Tracked>();
-  #attempts = 0;
+  readonly #tracked = new Map<AttemptId, TrackedAttempt>();
+  #attemptCount = 0;
 
   constructor(options: RequestClaimsOptions) {
     this.#options = options;
     this.#commits = new GroupCommit(options.table, options);
   }
 
-  /** Attempts whose outcome is not in the table yet. A planned stop waits until it is 0. */
+  /** Number of attempts whose outcome is not yet in the table. A planned stop waits until it is 0. */
   get pending(): number {
     return this.#tracked.size;
   }
 
-  /** For a planned stop, once nothing is pending. */
+  /** Call in a planned stop, once nothing is pending. */
   close(): void {
     this.#commits.close();
   }
 
-  /** Decides whether this sending may run. Never throws for a failing table. */
+  /** Decides whether this attempt may run. Never throws for a table failure. */
   claim(req: KeyedRequest): Promise<ClaimOutcome> {
     if (this.#tracked.size >= MAX_ATTEMPTS || this.#commits.isRefusing) {
       const refusal = { kind: "not-run", proof: "this-sending" } as const;
@@ -143,7 +144,7 @@
     }
     return new Promise((resolve) => {
       const started = startAttempt({
-        id: this.#newAttemptId(),
+        id: this.#nextAttemptId(),
         claim: claimId(req.scope, req.key),
         instance: this.#options.instance,
         bodyDigest: req.bodyDigest,
@@ -157,7 +158,7 @@
         clearTimeout(timer);
         resolve(outcome);
       };
-      const tracked: Tracked = {
+      const tracked: TrackedAttempt = {
         attempt: started.attempt,
         refuse: (refusal) => decide(refused(refusal)),
         grant: (grant) => decide({ kind: "granted", grant }),
@@ -170,19 +171,19 @@
     });
   }
 
-  /** Answers a peer that met a claim of this instance. */
+  /** Handles the query of a peer that found a claim of this instance. */
   async answerPeer(
-    question: HolderQuestion,
+    query: HolderQuestion,
     waitMs: number,
   ): Promise<HolderAnswer> {
-    if (question.instance !== this.#options.instance) {
-      // An earlier life on this VM: nothing of it is left that could dispatch.
+    if (query.instance !== this.#options.instance) {
+      // An earlier instance on this VM: it has ended and can never dispatch.
       return { kind: "dead" };
     }
-    const tracked = this.#tracked.get(question.attempt);
-    const answer = answerForHolder(tracked?.attempt);
-    if (tracked === undefined || answer.kind !== "running") {
-      return answer;
+    const tracked = this.#tracked.get(query.attempt);
+    const response = answerForHolder(tracked?.attempt);
+    if (tracked === undefined || response.kind !== "running") {
+      return response;
     }
     await new Promise<void>((resolve) => {
       const timer = setTimeout(resolve, Math.min(waitMs, MAX_HOLDER_WAIT_MS));
@@ -194,16 +195,16 @@
     return answerForHolder(tracked.attempt);
   }
 
-  #newAttemptId(): AttemptId {
-    this.#attempts += 1;
-    return `${this.#options.instance}/${this.#attempts}` as AttemptId;
+  #nextAttemptId(): AttemptId {
+    this.#attemptCount += 1;
+    return `${this.#options.instance}/${this.#attemptCount}` as AttemptId;
   }
 
-  #advance(tracked: Tracked, event: AttemptEvent): void {
+  #advance(tracked: TrackedAttempt, event: AttemptEvent): void {
     const { attempt, effects } = advanceAttempt(tracked.attempt, event);
     tracked.attempt = attempt;
-    const isOver = answerForHolder(attempt).kind !== "running";
-    if (isOver) {
+    const hasOutcome = answerForHolder(attempt).kind !== "running";
+    if (hasOutcome) {
       tracked.waiters.splice(0).forEach((wake) => wake());
     }
     if (attempt.phase.kind === "closed") {
@@ -212,7 +213,7 @@
     effects.forEach((effect) => this.#perform(tracked, effect));
   }
 
-  #perform(tracked: Tracked, effect: AttemptEffect): void {
+  #perform(tracked: TrackedAttempt, effect: AttemptEffect): void {
     switch (effect.kind) {
       case "write":
         return void this.#write(tracked, effect.over, effect.row);
@@ -229,11 +230,11 @@
     }
   }
 
-  #grantOf(tracked: Tracked): ClaimGrant {
+  #grantOf(tracked: TrackedAttempt): ClaimGrant {
     return {
       dispatch: () => {
-        // A process that was paused for long could otherwise run a request
-        // whose claim has expired and was taken by another sending since.
+        // After a long process pause, the claim may have expired and been taken
+        // over by another attempt, so the deadline is checked first.
         if (performance.now() >= tracked.deadline) {
           this.#advance(tracked, { kind: "expired" });
           return false;
@@ -247,7 +248,7 @@
   }
 
   async #write(
-    tracked: Tracked,
+    tracked: TrackedAttempt,
     over: number,
     row: ClaimRow,
   ): Promise<void> {
@@ -260,7 +261,7 @@
     this.#advance(tracked, result);
   }
 
-  async #read(tracked: Tracked): Promise<void> {
+  async #read(tracked: TrackedAttempt): Promise<void> {
     const row = await this.#commits.readBack(attemptKey(tracked.attempt));
     const event: AttemptEvent = row === undefined
       ? { kind: "failed", effect: "none" }
@@ -268,12 +269,12 @@
     this.#advance(tracked, event);
   }
 
-  async #ask(tracked: Tracked, row: ClaimRow): Promise<void> {
+  async #ask(tracked: TrackedAttempt, row: ClaimRow): Promise<void> {
     const { instance, attempt } = row;
-    const question = { instance, attempt, claim: tracked.attempt.claim };
+    const query = { instance, attempt, claim: tracked.attempt.claim };
     const answer = instance === this.#options.instance
-      ? await this.answerPeer(question, tracked.waitMs)
-      : await this.#options.holders.ask(question, tracked.waitMs);
+      ? await this.answerPeer(query, tracked.waitMs)
+      : await this.#options.holders.ask(query, tracked.waitMs);
     this.#advance(tracked, { kind: "holder", answer });
   }
 }
--- a/packages/coordination/src/claims/claims_test.ts
+++ b/packages/coordination/src/claims/claims_test.ts
@@ -10,15 +10,15 @@
 import { claimId, claimKey } from "./claim_row.ts";
 import { CLAIM_LIFETIME_MS, ClaimSweep } from "./sweep.ts";
 
-/** VMs that ask each other directly; an instance that is not listed is dead. */
+/** VMs that query each other directly; an instance that is not listed is dead. */
 function fleet(table: Table, names: readonly string[]) {
   const vms = new Map<string, RequestClaims>();
   for (const name of names) {
     const instance = id<InstanceId>(name);
     const holders = {
-      ask: async (question: { instance: InstanceId }, waitMs: number) =>
-        await vms.get(question.instance)?.answerPeer(
-          question as never,
+      ask: async (query: { instance: InstanceId }, waitMs: number) =>
+        await vms.get(query.instance)?.answerPeer(
+          query as never,
           waitMs,
         ) ?? { kind: "dead" } as const,
     };
@@ -39,7 +39,7 @@
 beforeEach(() => void vi.useFakeTimers());
 afterEach(() => void vi.useRealTimers());
 
-/** Lets the clock run until the outcome is there. */
+/** Advances the clock until the promise settles. */
 async function settle<Value>(promise: Promise<Value>): Promise<Value> {
   let isSettled = false;
   void promise.then(() => isSettled = true);
@@ -51,15 +51,15 @@
 
 function grantOf(outcome: ClaimOutcome) {
   if (outcome.kind !== "granted") {
-    throw new Error(`Cannot run: ${outcome.refusal.kind}`);
+    throw new Error(`Expected a grant, got refusal ${outcome.refusal.kind}`);
   }
   return outcome.grant;
 }
 
 describe("RequestClaims", () => {
-  // The answer to an objection is lost on its way, and the caller sends it
-  // again to another VM. Without the claim a clerk would have two objections.
-  it("gives a repeat the first one's answer, also while it runs", async () => {
+  // The response to an objection is lost, and the caller retries on another VM.
+  // Without the claim, the objection would be filed twice.
+  it("returns the first attempt's response to duplicates, also while it runs", async () => {
     const vms = fleet(new MemoryTable(), ["a", "b", "c"]);
     const grant = grantOf(await settle(vms.get("a")!.claim(REQUEST)));
     expect(grant.dispatch()).toBe(true);
@@ -75,9 +75,9 @@
     expect(grant.dispatch()).toBe(false);
   });
 
-  // The VM dies after it sent a booking. Whether the booking ran is not known,
+  // The VM crashes after it sent a booking. Whether the booking ran is unknown,
   // and running it again could charge the bank twice.
-  it("says unknown when the holder is dead, and does not run it", async () => {
+  it("returns unknown if the holder is dead, and does not run the request", async () => {
     const vms = fleet(new MemoryTable(), ["a", "b"]);
     await settle(vms.get("a")!.claim(REQUEST));
     vms.delete("a");
@@ -88,25 +88,26 @@
     });
   });
 
-  // The table is gone. A caller must hear so at once, not after a timeout for
-  // each of its requests, and a first sending must not be called lost.
-  it("refuses at once in an outage and recovers by itself", async () => {
+  // The table is unreachable. Callers must be refused immediately, not after a
+  // timeout for each request, and a first attempt must not be reported as
+  // possibly run.
+  it("refuses immediately in an outage and recovers by itself", async () => {
     const table = new FaultyTable();
     const a = fleet(table, ["a"]).get("a")!;
     table.faults = ["refuse"];
     const first = await settle(a.claim(REQUEST));
     const refusal = { kind: "not-run", proof: "this-sending" };
     expect(first).toEqual({ kind: "refused", refusal, retryAfterMs: 2_000 });
-    const asked = performance.now();
+    const startedAt = performance.now();
     await a.claim(REQUEST);
-    expect(performance.now()).toBe(asked);
+    expect(performance.now()).toBe(startedAt);
     await vi.advanceTimersByTimeAsync(2_000);
     expect((await settle(a.claim(REQUEST))).kind).toBe("granted");
   });
 
-  // A VM is paused between its claim and the dispatch, long enough for its
-  // caller to give up and send again. Both would run.
-  it("does not dispatch after the caller's time is over", async () => {
+  // A VM is paused between claim and dispatch until its caller has given up and
+  // retried elsewhere. Without the deadline check both attempts would run.
+  it("does not dispatch after the caller's deadline", async () => {
     const vms = fleet(new MemoryTable(), ["a", "b"]);
     const grant = grantOf(await settle(vms.get("a")!.claim(REQUEST)));
     await vi.advanceTimersByTimeAsync(REQUEST.timeLeftMs);
@@ -114,7 +115,7 @@
     expect((await settle(vms.get("b")!.claim(REQUEST))).kind).toBe("granted");
   });
 
-  it("tells another body under the same key", async () => {
+  it("refuses a different body under the same key", async () => {
     const vms = fleet(new MemoryTable(), ["a", "b"]);
     await settle(vms.get("a")!.claim(REQUEST));
     const other = { ...REQUEST, bodyDigest: "other" };
@@ -123,11 +124,11 @@
     });
   });
 
-  // Callers send the same requests through several VMs at once while the table
-  // loses answers, before and after the write. Whatever the order, a request
-  // that ran twice is a doubled objection.
-  it("runs each key once at most under any faults and order", async () => {
-    const sending = fc.record({
+  // Callers send the same requests through several VMs concurrently while the
+  // table loses calls, before and after the write takes effect. A request that
+  // ran twice would file an objection twice.
+  it("runs each key at most once under any faults and order", async () => {
+    const attempt = fc.record({
       vm: fc.constantFrom("a", "b", "c"),
       key: fc.constantFrom("k1", "k2"),
       runMs: fc.integer({ min: 0, max: 300 }),
@@ -141,16 +142,16 @@
     );
     await fc.assert(
       fc.asyncProperty(
-        fc.array(sending, { maxLength: 8, size: "max" }),
+        fc.array(attempt, { maxLength: 8, size: "max" }),
         fc.array(fault, { maxLength: 10, size: "max" }),
         fc.scheduler(),
-        async (sendings, faults, scheduler) => {
+        async (attempts, faults, scheduler) => {
           const table = new FaultyTable();
           table.faults = [...faults];
           const racing = racingTable(table, scheduler);
           const vms = fleet(racing, ["a", "b", "c"]);
           const runs = new Map<string, number>();
-          const work = sendings.map(async (req, index) => {
+          const work = attempts.map(async (req, index) => {
             await delay(index * req.pauseMs);
             const key = id<IdempotencyKey>(req.key);
             const outcome = await vms.get(req.vm)!.claim({ ...REQUEST, key });
@@ -181,7 +182,7 @@
 }
 
 describe("Batcher", () => {
-  it("settles each write once, as the table has it", async () => {
+  it("settles each write once, with the result that the table shows", async () => {
     const write = fc.record({ key: fc.constantFrom("a", "b", "c", "d") });
     await fc.assert(
       fc.asyncProperty(
@@ -216,7 +217,7 @@
 });
 
 describe("ClaimSweep", () => {
-  it("deletes a claim after a day, not before", async () => {
+  it("deletes a claim after one day, not before", async () => {
     const table = new MemoryTable();
     const a = fleet(table, ["a"]).get("a")!;
     await settle(a.claim(REQUEST));
--- a/packages/coordination/src/claims/group_commit.ts
+++ b/packages/coordination/src/claims/group_commit.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the batches of conditional writes, and refuses at once while the table
- * is out of reach.
+ * Sends batches of conditional writes, and fails writes immediately while the
+ * table is unreachable.
  *
  * @module
  */
@@ -17,21 +17,21 @@
 import { CLAIM_PREFIX } from "./claim_row.ts";
 
 /**
- * After a failed call writes are refused without being sent until a read
- * succeeds, so that no caller is held for a timeout. A read is sent this often,
- * without waiting for the one before: at 12 VMs 24 of the table's 2,000 reads a
- * second.
+ * Interval between probe reads during an outage. After a failed call, writes are
+ * refused without being sent until a read succeeds, so that no caller waits for
+ * a timeout. A probe does not wait for the previous one; 12 VMs send 24 of the
+ * table's 2,000 reads a second.
  */
 export const OUTAGE_PROBE_MS = 500;
 
 /**
- * A read back that takes longer is given up. Its caller waited for the lost
- * transaction already; a table that answers does so within some round trips,
- * and 200 ms are two of the longest, between regions.
+ * The caller has already waited for the lost transaction. A reachable table
+ * responds within a few round trips; 200 ms is two of the longest, between
+ * regions.
  */
-const READ_BACK_MS = 200;
+const READ_BACK_TIMEOUT_MS = 200;
 
-/** A row that nobody writes. */
+/** A row that is never written. */
 const PROBE_KEY = `${CLAIM_PREFIX}probe`;
 
 /** Group commit over a table. */
@@ -47,17 +47,17 @@
     this.#batcher = new Batcher(options);
   }
 
-  /** Whether writes are refused at once just now. */
+  /** Whether writes are currently refused without being sent. */
   get isRefusing(): boolean {
     return this.#isRefusing;
   }
 
-  /** Stops asking whether the table is back. */
+  /** Stops the probe reads. */
   close(): void {
     clearTimeout(this.#probeTimer);
   }
 
-  /** Applies the write, alone or with others. Never throws for a failing table. */
+  /** Applies the write, alone or in a batch. Table failures are returned, never thrown. */
   write(write: ConditionalWrite): Promise<WriteResult> {
     if (this.isRefusing) {
       return Promise.resolve({ kind: "failed", effect: "none" });
@@ -68,13 +68,13 @@
     });
   }
 
-  /** Reads one row back; undefined when the table does not answer soon. */
+  /** Reads one row back; undefined if the read fails or exceeds {@link READ_BACK_TIMEOUT_MS}. */
   async readBack(key: string): Promise<Row | undefined> {
     let timer: ReturnType<typeof setTimeout> | undefined;
-    const tooLate = new Promise<undefined>((resolve) => {
-      timer = setTimeout(() => resolve(undefined), READ_BACK_MS);
+    const timeout = new Promise<undefined>((resolve) => {
+      timer = setTimeout(() => resolve(undefined), READ_BACK_TIMEOUT_MS);
     });
-    const row = await Promise.race([this.#readOne(key), tooLate]);
+    const row = await Promise.race([this.#readOne(key), timeout]);
     clearTimeout(timer);
     return row;
   }
@@ -84,7 +84,7 @@
       const [row] = await this.#table.read([key]);
       return row;
     } catch (err) {
-      this.#notice(err);
+      this.#startOutage(err);
       return undefined;
     }
   }
@@ -94,8 +94,8 @@
     if (dueAt === undefined || this.#timer !== undefined) {
       return;
     }
-    // Also without a wait the batch goes out in a turn of its own, so that it
-    // takes all requests that came in this turn.
+    // Even if a batch is due now it is sent in a later tick, so that it
+    // includes all requests that arrive in the current tick.
     const wait = Math.max(0, dueAt - performance.now());
     this.#timer = setTimeout(() => this.#flush(), wait);
   }
@@ -118,26 +118,26 @@
         this.#batcher.conflicted(batch, result.rows);
       }
     } catch (err) {
-      this.#batcher.failed(batch, this.#notice(err));
+      this.#batcher.failed(batch, this.#startOutage(err));
       this.#batcher.refuseQueued();
     }
     this.#schedule();
   }
 
-  #notice(err: unknown): "none" | "unknown" {
+  #startOutage(err: unknown): "none" | "unknown" {
     if (!this.#isRefusing) {
       this.#isRefusing = true;
-      this.#probeLater();
+      this.#scheduleProbe();
     }
-    // A failure of another kind is a fault of the adapter: what it did is
-    // unknown too, and no request may hang on it.
+    // Any other error is a fault of the table adapter. Its effect is unknown as
+    // well, and no request may hang because of it.
     return err instanceof TableError ? err.effect : "unknown";
   }
 
-  #probeLater(): void {
+  #scheduleProbe(): void {
     this.#probeTimer = setTimeout(() => {
       void this.#probe();
-      this.#probeLater();
+      this.#scheduleProbe();
     }, OUTAGE_PROBE_MS);
   }
 
@@ -145,7 +145,7 @@
     try {
       await this.#table.read([PROBE_KEY]);
     } catch {
-      // Still out of reach; the next probe is on its way already.
+      // Still unreachable; the next probe is already scheduled.
       return;
     }
     this.#isRefusing = false;
--- a/packages/coordination/src/claims/mod.ts
+++ b/packages/coordination/src/claims/mod.ts
@@ -1,5 +1,5 @@
 /**
- * Request claims: keyed requests that run at most once.
+ * Request claims: at-most-once execution of requests with an idempotency key.
  *
  * @module
  */
@@ -24,8 +24,8 @@
 export { ClaimSweep, type ClaimSweepOptions } from "./sweep.ts";
 export {
   type Ticket,
-  TicketOffice,
-  type TicketOfficeOptions,
+  type TicketAttempt,
+  TicketIssuer,
+  type TicketIssuerOptions,
   type TicketOutcome,
-  type TicketSending,
 } from "./tickets.ts";
--- a/packages/coordination/src/claims/sweep.ts
+++ b/packages/coordination/src/claims/sweep.ts
@@ -1,10 +1,10 @@
 /**
  * Deletes claims that are older than their lifetime.
  *
- * A key guards a request for that lifetime and no longer: a repeat that comes
- * later would run again. The table knows no time, so the age comes from the
- * wall clock of the VM that claimed; the lifetime is long enough that clocks
- * which are minutes apart make no difference.
+ * A key prevents duplicates only for that lifetime: a later duplicate would run
+ * again. The table has no clock, so a claim's age is computed from the wall
+ * clock of the VM that claimed; the lifetime is long enough that clocks which
+ * differ by minutes do not matter.
  *
  * @module
  */
@@ -12,19 +12,19 @@
 import { type Row, type Table, TableError } from "../table.ts";
 import { CLAIM_PREFIX, claimOf } from "./claim_row.ts";
 
-/** A day: callers send again within minutes, and an outage may last an hour or two. */
+/** One day: callers retry within minutes, and an outage may last an hour or two. */
 export const CLAIM_LIFETIME_MS = 86_400_000;
-/** Rows of one page. With {@link PAGE_PAUSE_MS} 8.6 million claims are looked through in a day, by one read a second. */
+/** Rows per page. With {@link PAGE_PAUSE_MS} one read a second covers 8.6 million claims a day. */
 const PAGE_ROWS = 100;
 const PAGE_PAUSE_MS = 1_000;
 
 /** Options of a {@link ClaimSweep}. */
 export interface ClaimSweepOptions {
-  /** Whether this VM sweeps at present, for example because it holds a lease. */
+  /** Whether this VM is currently the one that sweeps, for example because it holds a lease. */
   readonly isMine: () => boolean;
 }
 
-/** Goes through all claims, over and over, a page a second. */
+/** Scans all claims repeatedly, one page a second. */
 export class ClaimSweep {
   readonly #table: Table;
   readonly #isMine: () => boolean;
@@ -49,15 +49,15 @@
     clearTimeout(this.#timer);
   }
 
-  /** Looks through the next page. A page that the table fails is taken again. */
+  /** Sweeps the next page. A page whose read or delete fails is swept again. */
   async sweepPage(): Promise<void> {
     const page = { after: this.#after, limit: PAGE_ROWS };
     const rows = await this.#table.scan(CLAIM_PREFIX, page);
     const expired = expiredClaims(rows, Date.now());
     if (expired.length > 0) {
       await this.#table.transact({
-        // A claim that changed since the scan keeps the whole page for the next
-        // round; nothing is lost by that.
+        // If a claim changed since the scan, the transaction deletes nothing and
+        // the page's expired claims are left for the next pass.
         conditions: expired.map(({ key, version }) => ({ key, version })),
         writes: expired.map(({ key }) => ({ key, value: undefined })),
       });
@@ -68,10 +68,10 @@
   }
 
   #schedule(): void {
-    this.#timer = setTimeout(() => void this.#turn(), PAGE_PAUSE_MS);
+    this.#timer = setTimeout(() => void this.#runOnce(), PAGE_PAUSE_MS);
   }
 
-  async #turn(): Promise<void> {
+  async #runOnce(): Promise<void> {
     try {
       if (this.#isMine()) {
         await this.sweepPage();
@@ -87,7 +87,7 @@
   }
 }
 
-/** The rows whose claim has outlived its lifetime at wall-clock time `now`. */
+/** The rows whose claim has exceeded its lifetime at wall-clock time `now`. */
 export function expiredClaims(
   rows: readonly Row[],
   now: number,
--- a/packages/coordination/src/claims/tickets.ts
+++ b/packages/coordination/src/claims/tickets.ts
@@ -1,12 +1,12 @@
 /**
- * Tickets: one-use rights to run a request, bound to the instance that issued
- * them. Its memory alone makes a request run at most once, without a write to
- * the table and in any outage of it.
+ * Tickets: single-use permissions to run a request, bound to the instance that
+ * issued them. That instance's memory alone ensures that a request runs at most
+ * once, without a write to the table and even during a table outage.
  *
  * Nothing is stored for a ticket until it is used: a serial number with a
- * message authentication code shows that this instance issued it, for whom and
- * when. Any other instance forwards to the issuer. Once the issuer is gone the
- * ticket can never run again, and whether it ran is unknown.
+ * message authentication code (MAC) proves that this instance issued it, to
+ * whom and when. Any other instance forwards to the issuer. Once the issuer has
+ * ended, the ticket can never run again, and whether it ran is unknown.
  *
  * @module
  */
@@ -16,94 +16,96 @@
 import type { Brand, InstanceId } from "@poplarthread/ids";
 import type { RunOutcome } from "./attempt.ts";
 
-/** A ticket as callers carry it: `INSTANCE~SERIAL~ISSUED~CODE`. */
+/** A ticket as callers hold it: `INSTANCE~SERIAL~ISSUED~MAC`. */
 export type Ticket = Brand<"Ticket">;
 
-/** What is known of a used ticket. */
-type Use =
+/** State of a used ticket. */
+type TicketUse =
   | { readonly kind: "running" }
-  /** How it ended, where it may have run. */
+  /** Outcome of a run that may have taken place. */
   | Exclude<RunOutcome, { kind: "not-run" }>;
 
-/** What a sending with a ticket may do. */
+/** Whether an attempt with a ticket may run. */
 export type TicketOutcome =
-  /** It runs now, this once; end it with {@link TicketOffice.end}. */
+  /** It may run now, once; report its end with {@link TicketIssuer.end}. */
   | { readonly kind: "granted" }
-  /** An earlier sending runs or ran. */
+  /** An earlier attempt is running or has run. */
   | {
     readonly kind: "used";
     readonly bodyMatches: boolean;
-    readonly use: Use;
+    readonly use: TicketUse;
   }
-  /** Another instance issued it: ask that one. */
+  /** Another instance issued it: forward to that one. */
   | { readonly kind: "forward"; readonly instance: InstanceId }
-  /** Past its time. It will not run, and whether it ran is not known any more. */
+  /** Its lifetime is over. It will not run, and whether it ran is no longer known. */
   | { readonly kind: "expired" }
-  /** Not a ticket that this instance issued to this caller. */
+  /** Not issued by this instance to this caller, or malformed. */
   | { readonly kind: "forged" }
-  /** Too many used tickets are remembered; this sending does not run, a later one may. */
+  /** The limit of used tickets in memory is reached; this attempt does not run, a later one may. */
   | { readonly kind: "full" };
 
-/** What a {@link TicketOffice} works with. */
-export interface TicketOfficeOptions {
+/** Options of {@link TicketIssuer}. */
+export interface TicketIssuerOptions {
   readonly instance: InstanceId;
-  /** Random, of this life of the process alone; 32 bytes. */
+  /** 32 random bytes, generated for this run of the process. */
   readonly secret: Buffer;
-  /** How long a ticket may be used, in ms. */
+  /** How long a ticket is valid. */
   readonly lifetimeMs: number;
-  /** Used tickets remembered at most. */
+  /** Maximum number of used tickets in memory. */
   readonly maxUsed: number;
 }
 
-/** One sending with a ticket. */
-export interface TicketSending {
+/** One attempt at a request with a ticket. */
+export interface TicketAttempt {
   readonly ticket: Ticket;
-  /** Who sends; a ticket works for the caller that it was issued to. */
+  /** The caller; a ticket is valid only for the caller it was issued to. */
   readonly scope: string;
   /** Digest of method, path and body. */
   readonly bodyDigest: string;
 }
 
-interface Used {
+/** The stored state of a used ticket. */
+interface UsedTicket {
   readonly bodyDigest: string;
   readonly issuedAt: number;
-  readonly use: Use;
+  readonly use: TicketUse;
 }
 
-interface Parts {
+/** A parsed ticket. */
+interface TicketParts {
   readonly instance: InstanceId;
   readonly serial: number;
   readonly issuedAt: number;
-  readonly code: string;
+  readonly mac: string;
 }
 
-/** Issues and honours the tickets of one instance. Times are of its monotonic clock, in ms. */
-export class TicketOffice {
-  readonly #options: TicketOfficeOptions;
-  readonly #used = new Map<number, Used>();
+/** Issues and accepts the tickets of one instance. Times are in ms on its monotonic clock. */
+export class TicketIssuer {
+  readonly #options: TicketIssuerOptions;
+  readonly #used = new Map<number, UsedTicket>();
   #serial = 0;
 
-  constructor(options: TicketOfficeOptions) {
+  constructor(options: TicketIssuerOptions) {
     this.#options = options;
   }
 
-  /** Used tickets that are remembered. */
+  /** Number of used tickets in memory. */
   get size(): number {
     return this.#used.size;
   }
 
-  /** A new ticket for this caller. */
+  /** Issues a ticket to this caller. */
   issue(scope: string, now: number): Ticket {
     this.#serial += 1;
     const fields = `${this.#options.instance}~${this.#serial}~${
       Math.floor(now)
     }`;
-    return `${fields}~${this.#code(fields, scope)}` as Ticket;
+    return `${fields}~${this.#mac(fields, scope)}` as Ticket;
   }
 
-  /** Whether this sending may run. */
-  use(sending: TicketSending, now: number): TicketOutcome {
-    const parts = parse(sending.ticket);
+  /** Decides whether this attempt may run. */
+  use(attempt: TicketAttempt, now: number): TicketOutcome {
+    const parts = parse(attempt.ticket);
     if (parts === undefined) {
       return { kind: "forged" };
     }
@@ -111,28 +113,28 @@
     if (instance !== this.#options.instance) {
       return { kind: "forward", instance };
     }
-    if (!this.#isGenuine(sending)) {
+    if (!this.#isGenuine(attempt)) {
       return { kind: "forged" };
     }
     const used = this.#used.get(serial);
     if (used !== undefined) {
-      const bodyMatches = used.bodyDigest === sending.bodyDigest;
+      const bodyMatches = used.bodyDigest === attempt.bodyDigest;
       return { kind: "used", bodyMatches, use: used.use };
     }
-    // What is not remembered was not used, as long as uses are forgotten only
-    // once no ticket of that age is honoured any more.
+    // A ticket that is not in memory was not used, because used tickets are
+    // removed only once they have expired.
     if (now - issuedAt >= this.#options.lifetimeMs) {
       return { kind: "expired" };
     }
     if (this.#isFull(now)) {
       return { kind: "full" };
     }
-    const { bodyDigest } = sending;
+    const { bodyDigest } = attempt;
     this.#used.set(serial, { bodyDigest, issuedAt, use: { kind: "running" } });
     return { kind: "granted" };
   }
 
-  /** How a granted sending ended. After `not-run` the ticket is as good as new. */
+  /** Reports how a granted attempt ended. After `not-run` the ticket may be used again. */
   end(ticket: Ticket, outcome: RunOutcome): void {
     const serial = parse(ticket)?.serial;
     const used = serial === undefined ? undefined : this.#used.get(serial);
@@ -146,7 +148,7 @@
     this.#used.set(serial, { ...used, use: outcome });
   }
 
-  /** Forgets expired uses only when room is needed; a running one is never forgotten. */
+  /** Removes expired tickets only when the limit is reached; a running one is never removed. */
   #isFull(now: number): boolean {
     const { lifetimeMs, maxUsed } = this.#options;
     if (this.#used.size < maxUsed) {
@@ -160,31 +162,31 @@
     return this.#used.size >= maxUsed;
   }
 
-  #isGenuine({ ticket, scope }: TicketSending): boolean {
+  #isGenuine({ ticket, scope }: TicketAttempt): boolean {
     const end = ticket.lastIndexOf("~");
-    const expected = Buffer.from(this.#code(ticket.slice(0, end), scope));
+    const expected = Buffer.from(this.#mac(ticket.slice(0, end), scope));
     const given = Buffer.from(ticket.slice(end + 1));
     return expected.length === given.length && timingSafeEqual(expected, given);
   }
 
-  #code(fields: string, scope: string): string {
+  #mac(fields: string, scope: string): string {
     return createHmac("sha256", this.#options.secret)
       .update(JSON.stringify([fields, scope]))
       .digest("base64url");
   }
 }
 
-function parse(ticket: Ticket): Parts | undefined {
-  const [instance, serial, issuedAt, code, ...more] = ticket.split("~");
-  const isWhole = instance !== undefined && code !== undefined &&
+function parse(ticket: Ticket): TicketParts | undefined {
+  const [instance, serial, issuedAt, mac, ...more] = ticket.split("~");
+  const isComplete = instance !== undefined && mac !== undefined &&
     /^\d+$/.test(serial ?? "") && /^\d+$/.test(issuedAt ?? "");
-  if (!isWhole || more.length > 0) {
+  if (!isComplete || more.length > 0) {
     return undefined;
   }
   return {
     instance: instance as InstanceId,
     serial: Number(serial),
     issuedAt: Number(issuedAt),
-    code,
+    mac,
   };
 }
--- a/packages/coordination/src/claims/tickets_test.ts
+++ b/packages/coordination/src/claims/tickets_test.ts
@@ -2,10 +2,10 @@
 import { id, type InstanceId } from "@poplarthread/ids";
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { type Ticket, TicketOffice } from "./tickets.ts";
+import { type Ticket, TicketIssuer } from "./tickets.ts";
 
-function office(instance: string, maxUsed = 100): TicketOffice {
-  return new TicketOffice({
+function issuer(instance: string, maxUsed = 100): TicketIssuer {
+  return new TicketIssuer({
     instance: id<InstanceId>(instance),
     secret: Buffer.alloc(32, instance),
     lifetimeMs: 1_000,
@@ -15,34 +15,34 @@
 
 const ANSWER = { status: 201, headers: [], bodyBase64: "T0s=" };
 
-describe("TicketOffice", () => {
-  // A caller that holds a ticket hears nothing and sends again, perhaps to
-  // another VM, perhaps with a ticket that it made up or took from another.
-  it("honours its own ticket once, for the caller it was issued to", () => {
-    const [a, b] = [office("a"), office("b")];
+describe("TicketIssuer", () => {
+  // A caller with a ticket gets no response and retries, perhaps on another VM,
+  // perhaps with a forged ticket or one issued to another caller.
+  it("accepts its own ticket once, from the caller it was issued to", () => {
+    const [a, b] = [issuer("a"), issuer("b")];
     const ticket = a.issue("ana", 0);
-    const sending = { ticket, scope: "ana", bodyDigest: "body" };
-    expect(b.use(sending, 1)).toEqual({ kind: "forward", instance: "a" });
-    expect(a.use({ ...sending, scope: "bo" }, 1).kind).toBe("forged");
+    const attempt = { ticket, scope: "ana", bodyDigest: "body" };
+    expect(b.use(attempt, 1)).toEqual({ kind: "forward", instance: "a" });
+    expect(a.use({ ...attempt, scope: "bo" }, 1).kind).toBe("forged");
     const later = ticket.replace("~0~", "~900~") as Ticket;
-    expect(a.use({ ...sending, ticket: later }, 1).kind).toBe("forged");
-    expect(a.use(sending, 1).kind).toBe("granted");
+    expect(a.use({ ...attempt, ticket: later }, 1).kind).toBe("forged");
+    expect(a.use(attempt, 1).kind).toBe("granted");
     a.end(ticket, { kind: "answered", answer: ANSWER });
-    expect(a.use({ ...sending, bodyDigest: "other" }, 2)).toEqual({
+    expect(a.use({ ...attempt, bodyDigest: "other" }, 2)).toEqual({
       kind: "used",
       bodyMatches: false,
       use: { kind: "answered", answer: ANSWER },
     });
   });
 
-  it("never runs a ticket twice in any order of sendings, ends and time", () => {
+  it("never runs a ticket twice, in any order of attempts, outcomes and elapsed time", () => {
     const step = fc.record({
       kind: fc.constantFrom("use", "answer", "not-run", "wait"),
       ticket: fc.nat(3),
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40, size: "max" }), (steps) => {
-        const a = office("a", 2);
+        const a = issuer("a", 2);
         const tickets = [0, 1, 2, 3].map((n) => a.issue("ana", n * 200));
         const ran = tickets.map(() => 0);
         let now = 600;
@@ -50,8 +50,8 @@
           const ticket = tickets[n]!;
           switch (kind) {
             case "use": {
-              const sending = { ticket, scope: "ana", bodyDigest: "body" };
-              ran[n]! += a.use(sending, now).kind === "granted" ? 1 : 0;
+              const attempt = { ticket, scope: "ana", bodyDigest: "body" };
+              ran[n]! += a.use(attempt, now).kind === "granted" ? 1 : 0;
               break;
             }
             case "answer":
--- a/packages/coordination/src/cores.ts
+++ b/packages/coordination/src/cores.ts
@@ -1,6 +1,6 @@
 /**
  * The pure cores that the tasks of this package run, for model checking and for
- * services that bring tasks of their own.
+ * services that provide their own tasks.
  *
  * @module
  */
--- a/packages/coordination/src/memory_table.ts
+++ b/packages/coordination/src/memory_table.ts
@@ -1,5 +1,5 @@
 /**
- * A table in memory with the platform's semantics, for tests, models and the
+ * An in-memory table with the platform's semantics, for tests, models and the
  * platform stand-in.
  *
  * @module
@@ -14,16 +14,16 @@
   type TransactionResult,
 } from "./table.ts";
 
-/** Serializable transactions over a map; every call takes effect at once. */
+/** Serializable transactions over a map; every call takes effect immediately. */
 export class MemoryTable implements Table {
   readonly #rows = new Map<string, Row>();
 
-  // deno-lint-ignore require-await -- the port is asynchronous
+  // deno-lint-ignore require-await -- the interface is asynchronous
   async read(keys: readonly string[]): Promise<readonly Row[]> {
     return keys.map((key) => this.#row(key));
   }
 
-  // deno-lint-ignore require-await -- the port is asynchronous
+  // deno-lint-ignore require-await -- the interface is asynchronous
   async scan(prefix: string, options: ScanOptions): Promise<readonly Row[]> {
     const after = options.after ?? "";
     return [...this.#rows.values()]
@@ -32,7 +32,7 @@
       .slice(0, options.limit);
   }
 
-  // deno-lint-ignore require-await -- the port is asynchronous
+  // deno-lint-ignore require-await -- the interface is asynchronous
   async transact(transaction: Transaction): Promise<TransactionResult> {
     const failed = transaction.conditions
       .map((condition) => ({ condition, row: this.#row(condition.key) }))
--- a/packages/coordination/src/mod.ts
+++ b/packages/coordination/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Coordination parts for services that share the platform's table. The parts
- * know nothing of the daemon; each is a pure core and a small task around it.
+ * Coordination components for services that share the platform's table. They do
+ * not depend on the daemon; each is a pure core with a small task around it.
  *
  * @module
  */
--- a/packages/coordination/src/table.ts
+++ b/packages/coordination/src/table.ts
@@ -1,12 +1,11 @@
 /**
- * The port to the platform's transactional table. Everything that has to be
- * agreed or kept goes through it; no part of this package keeps a store of its
- * own.
+ * Interface to the platform's transactional table. All consensus and all
+ * durable state go through it; no part of this package has a store of its own.
  *
  * @module
  */
 
-/** A value as the table keeps it. */
+/** A value as the table stores it. */
 export type Json =
   | null
   | boolean
@@ -15,13 +14,13 @@
   | readonly Json[]
   | { readonly [name: string]: Json };
 
-/** The version of a row that does not exist. The first write makes version 1. */
+/** Version of a row that does not exist. The first write creates version 1. */
 export const ABSENT = 0;
 
-/** A row as it stood when the table answered. An absent row has version 0 and value null. */
+/** A row at the time of the table's response. An absent row has version 0 and value null. */
 export interface Row {
   readonly key: string;
-  /** Grows by one with each write of this row; 0 means absent. */
+  /** Incremented by each write of this row; 0 means absent. */
   readonly version: number;
   readonly value: Json;
 }
@@ -32,50 +31,50 @@
   readonly version: number;
 }
 
-/** Sets a row, or deletes it where the value is undefined. */
+/** Sets a row, or deletes it if the value is undefined. */
 export interface Write {
   readonly key: string;
   readonly value: Json | undefined;
 }
 
-/** All conditions hold and all writes are applied, or nothing is. */
+/** Applies all writes if all conditions hold, otherwise none. */
 export interface Transaction {
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
 }
 
-/** What the table answered to a transaction. */
+/** The table's response to a transaction. */
 export type TransactionResult =
   | { readonly kind: "committed" }
   /** `rows` are the current rows of the conditions that did not hold. */
   | { readonly kind: "conflict"; readonly rows: readonly Row[] };
 
-/** Bounds of one page of a scan. */
+/** Range of one page of a scan. */
 export interface ScanOptions {
-  /** Only keys after this one; for the next page, the last key of the one before. */
+  /** Exclusive lower bound; for the next page, the last key of the previous one. */
   readonly after?: string;
-  /** At most this many rows. */
+  /** Maximum number of rows. */
   readonly limit: number;
 }
 
-/** The platform's table, as the parts of this package use it. */
+/** The operations of the platform's table that this package uses. */
 export interface Table {
-  /** Reads rows, in the order of `keys`; absent rows come with version 0. */
+  /** Reads rows in the order of `keys`; absent rows have version 0. */
   read(keys: readonly string[]): Promise<readonly Row[]>;
   /** Reads the rows whose key starts with `prefix`, in key order. */
   scan(prefix: string, options: ScanOptions): Promise<readonly Row[]>;
-  /** Applies a transaction, or says which conditions failed. */
+  /** Applies a transaction, or returns the rows whose conditions failed. */
   transact(transaction: Transaction): Promise<TransactionResult>;
 }
 
-/** What a failed call to the table did, as far as the client can know. */
+/** Whether a failed call took effect, as far as the client can know. */
 export type TableEffect = "none" | "unknown";
 
 /**
- * The table could not be asked, or its answer did not come. With effect
- * `unknown` a transaction may have been applied: only reading the rows back
- * tells, which is why every writer in this package writes a row that names its
- * own operation.
+ * The table could not be reached, or its response was lost. With effect
+ * `unknown` a transaction may have been applied. Only reading the rows back
+ * shows whether it was, so every writer in this package writes a row that
+ * identifies its own operation.
  */
 export class TableError extends Error {
   override readonly name = "TableError";
--- a/packages/coordination/src/testing/faulty_table.ts
+++ b/packages/coordination/src/testing/faulty_table.ts
@@ -1,5 +1,5 @@
 /**
- * A table for tests whose calls fail as they are told to.
+ * A table for tests whose calls fail in a given sequence.
  *
  * @module
  */
@@ -13,10 +13,10 @@
   type TransactionResult,
 } from "../table.ts";
 
-/** How one call fails: not sent, lost on the way, or answered lost after it took effect. */
+/** How one call fails: not sent, request lost, or response lost after the call took effect. */
 export type Fault = "none" | "refuse" | "lose-before" | "lose-after";
 
-/** A table whose calls meet one fault after the other, then none. */
+/** Applies one of `faults` to each call in order; later calls succeed. */
 export class FaultyTable implements Table {
   readonly memory = new MemoryTable();
   faults: Fault[] = [];
@@ -33,7 +33,7 @@
     return this.#call(() => this.memory.transact(transaction));
   }
 
-  async #call<Answer>(apply: () => Promise<Answer>): Promise<Answer> {
+  async #call<Result>(apply: () => Promise<Result>): Promise<Result> {
     const fault = this.faults.shift() ?? "none";
     if (fault === "none") {
       return await apply();
@@ -42,6 +42,6 @@
       await apply();
     }
     const effect = fault === "refuse" ? "none" : "unknown";
-    throw new TableError("Cannot call the table: fault", effect);
+    throw new TableError("Cannot call the table: injected fault", effect);
   }
 }
