--- a/packages/coordination/src/membership/facts.ts
+++ b/packages/coordination/src/membership/facts.ts
@@ -1,5 +1,5 @@
 /**
- * Facts that are known for a while.
+ * Replicated facts with a limited lifetime.
  *
  * @module
  */
@@ -7,53 +7,58 @@
 import type { Fact } from "./messages.ts";
 
 /**
- * Most facts kept at once. Beyond it the one that ends first goes: a flood of
- * facts must not take the memory that steering needs.
+ * Beyond this the fact that expires first is removed: a flood of facts must not
+ * use up the memory that steering needs.
  */
 const MAX_FACTS = 4_096;
 
 /**
- * An ended fact's key and version are remembered this long. Copies that were on
- * their way would bring it back to life otherwise, in turns between two members.
+ * How long the key and version of an expired fact are kept. Without this
+ * tombstone, copies in flight would make the fact reappear, alternately on two
+ * members.
  */
-const ENDED_MEMORY_MS = 30_000;
+const TOMBSTONE_LIFETIME_MS = 30_000;
 
-interface Known {
+/** A fact and its local expiry time. */
+interface KnownFact {
   readonly fact: Fact;
   readonly expiresAt: number;
 }
 
 /** The facts of one member. */
-export class Facts {
-  readonly #known = new Map<string, Known>();
-  readonly #ended = new Map<string, { version: number; forgetAt: number }>();
+export class FactStore {
+  readonly #known = new Map<string, KnownFact>();
+  readonly #tombstones = new Map<
+    string,
+    { version: number; removeAt: number }
+  >();
 
-  /** Takes a fact in; false when it is not new. */
-  learn(fact: Fact, now: number): boolean {
+  /** Adds a fact; false if it is not new. */
+  add(fact: Fact, now: number): boolean {
     const known = this.#known.get(fact.key)?.fact;
-    const ended = this.#ended.get(fact.key);
-    const isOld = fact.lifetimeMs <= 0 ||
+    const tombstone = this.#tombstones.get(fact.key);
+    const isOutdated = fact.lifetimeMs <= 0 ||
       (known !== undefined && !isNewer(fact, known)) ||
-      (ended !== undefined && fact.version <= ended.version);
-    if (isOld) {
+      (tombstone !== undefined && fact.version <= tombstone.version);
+    if (isOutdated) {
       return false;
     }
     this.#known.set(fact.key, { fact, expiresAt: now + fact.lifetimeMs });
     return true;
   }
 
-  /** A fact with the lifetime it has left. */
+  /** A fact with its remaining lifetime. */
   get(key: string, now: number): Fact | undefined {
     const known = this.#known.get(key);
     return known === undefined ? undefined : remaining(known, now);
   }
 
-  /** All facts, each with the lifetime it has left. */
+  /** All facts, each with its remaining lifetime. */
   all(now: number): readonly Fact[] {
     return [...this.#known.values()].map((known) => remaining(known, now));
   }
 
-  /** Ends what has run out or exceeds the bound; returns the keys. */
+  /** Removes facts that have expired or exceed the limit; returns their keys. */
   expire(now: number): readonly string[] {
     const due = [...this.#known.values()]
       .filter(({ expiresAt }) => expiresAt <= now)
@@ -61,17 +66,20 @@
     for (const { fact } of due) {
       this.#known.delete(fact.key);
       const { version } = fact;
-      this.#ended.set(fact.key, { version, forgetAt: now + ENDED_MEMORY_MS });
+      this.#tombstones.set(fact.key, {
+        version,
+        removeAt: now + TOMBSTONE_LIFETIME_MS,
+      });
     }
-    for (const [key, { forgetAt }] of this.#ended) {
-      if (forgetAt <= now) {
-        this.#ended.delete(key);
+    for (const [key, { removeAt }] of this.#tombstones) {
+      if (removeAt <= now) {
+        this.#tombstones.delete(key);
       }
     }
     return due.map(({ fact }) => fact.key);
   }
 
-  #excess(): readonly Known[] {
+  #excess(): readonly KnownFact[] {
     const excess = this.#known.size - MAX_FACTS;
     return excess <= 0 ? [] : [...this.#known.values()]
       .sort((a, b) => a.expiresAt - b.expiresAt)
@@ -83,10 +91,10 @@
   if (a.version !== b.version) {
     return a.version > b.version;
   }
-  // Two members published one version: any order will do, if all members use it.
+  // Two members published the same version: any order works if all members use it.
   return JSON.stringify(a.value) > JSON.stringify(b.value);
 }
 
-function remaining({ fact, expiresAt }: Known, now: number): Fact {
+function remaining({ fact, expiresAt }: KnownFact, now: number): Fact {
   return { ...fact, lifetimeMs: Math.max(0, Math.round(expiresAt - now)) };
 }
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -6,65 +6,65 @@
 
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { VmId } from "@poplarthread/ids";
-import { Facts } from "./facts.ts";
+import { FactStore } from "./facts.ts";
 import type {
   Fact,
   Heartbeat,
   ListedMember,
   Member,
-  MemberPlace,
+  MemberLocation,
   MembershipEffect,
   MembershipMessage,
-  News,
   Sender,
+  Update,
 } from "./messages.ts";
-import { type NewsKey, NewsQueue } from "./news_queue.ts";
-import { Opinions } from "./opinions.ts";
+import { type UpdateKey, UpdateQueue } from "./update_queue.ts";
+import { MemberStates } from "./member_states.ts";
 import { Partners } from "./partners.ts";
 import { Probes, SUSPECT_PERIODS } from "./probes.ts";
 import { bucketOf } from "./view.ts";
 
-/** Time between two heartbeats of a member. With 170 bytes each way it stays near 400 bytes a second. */
+/** Heartbeat interval of a member. At 170 bytes each way, traffic stays near 400 bytes a second. */
 export const PERIOD_MS = 1_000;
 
-/** A gap between ticks beyond this means that this member was paused, not that the others were silent. */
-const PAUSE_MS = 2 * PERIOD_MS;
+/** A longer gap between ticks means that this process was paused, not that the others did not respond. */
+const PAUSE_THRESHOLD_MS = 2 * PERIOD_MS;
 
-/** Members that are asked to ping one that does not answer. */
+/** Number of members asked to ping one that does not respond. */
 const INDIRECT_PROBES = 3;
 
-/** Every so many periods one member that is held dead but listed is pinged, so that a healed cut is noticed. */
+/** Every this many periods, one member that is dead but listed is pinged, so that the end of a network partition is detected. */
 const PROBE_DEAD_PERIODS = 5;
 
-/** Views are compared at most this often: a difference that news is about to end costs nothing. */
-const COMPARE_MS = 5_000;
+/** Minimum interval between comparisons of views. Most differences end by themselves when queued updates arrive. */
+const MIN_COMPARE_INTERVAL_MS = 5_000;
 
-/** Where more than this share of the partners is silent, the fault is more likely on this side. */
-const SELF_DOUBT_SHARE = 2 / 3;
+/** If more than this share of the partners does not respond, the fault is more likely local. */
+const SELF_FAULT_SHARE = 2 / 3;
 
-/** Who this member is. */
+/** Options of {@link Membership}. */
 export interface MembershipOptions {
-  readonly self: Sender & MemberPlace;
+  readonly self: Sender & MemberLocation;
   readonly random: RandomGenerator;
-  /** Time of the start, on the clock that `now` is read from; by default 0, as of a process's own clock. */
+  /** Start time on the clock of `now`; 0 by default, for a clock that starts with the process. */
   readonly now?: number;
 }
 
 /**
- * Knows the other VMs of the system. Call {@link tick} every 100 ms or so; each
- * method returns what to send and what changed.
+ * Tracks the VMs of the system. Call {@link tick} about every 100 ms; each method
+ * returns the messages to send and the changes.
  */
 export class Membership {
   readonly #from: Sender;
-  readonly #news = new NewsQueue();
-  readonly #opinions: Opinions;
-  readonly #facts = new Facts();
+  readonly #updates = new UpdateQueue();
+  readonly #states: MemberStates;
+  readonly #facts = new FactStore();
   readonly #partners: Partners;
   readonly #probes = new Probes();
-  /** Pings made on behalf of others: own sequence to whom it is for. */
-  readonly #errands = new Map<number, { to: VmId; sequence: number }>();
-  /** Members that know this one's entry, by an answered ping. */
-  readonly #introduced = new Set<string>();
+  /** Pings sent on behalf of others: by local sequence number, the requester and its own number. */
+  readonly #indirectPings = new Map<number, { to: VmId; sequence: number }>();
+  /** Members that have acknowledged a ping and so have this one's entry. */
+  readonly #introducedTo = new Set<string>();
   #revision = 0;
   #periods = 0;
   #periodStartedAt = -Infinity;
@@ -76,53 +76,53 @@
     this.#from = { vm, instance };
     this.#tickedAt = now;
     this.#partners = new Partners(random);
-    this.#opinions = new Opinions(
+    this.#states = new MemberStates(
       { ...self, incarnation: 0, state: "joined" },
-      { news: this.#news, startedAt: now },
+      { updates: this.#updates, startedAt: now },
     );
   }
 
-  /** Every member that is known, this one included. */
+  /** All known members, including this one. */
   members(): readonly Member[] {
-    return [...this.#opinions.view.entries()].map(({ member }) => member);
+    return [...this.#states.view.entries()].map(({ member }) => member);
   }
 
-  /** What is known of a VM. */
+  /** The member on a VM, if known. */
   member(vm: VmId): Member | undefined {
-    return this.#opinions.view.get(vm)?.member;
+    return this.#states.view.get(vm)?.member;
   }
 
-  /** Facts that are still alive, each with the lifetime it has left. */
+  /** Unexpired facts, each with its remaining lifetime. */
   facts(now: number): readonly Fact[] {
     return this.#facts.all(now);
   }
 
-  /** Takes in the platform's VM list: its entry VMs, this one included or not. */
+  /** Merges the platform's VM list, which may or may not include this VM. */
   listed(
     list: readonly ListedMember[],
     now: number,
   ): readonly MembershipEffect[] {
-    return this.#opinions.listed(list, now);
+    return this.#states.mergeVmList(list, now);
   }
 
-  /** Makes a fact known to all members. */
+  /** Publishes a fact to all members. */
   publish(fact: Fact, now: number): readonly MembershipEffect[] {
-    return this.#learnFact(fact, now);
+    return this.#mergeFact(fact, now);
   }
 
-  /** Sets the revision of the configuration that heartbeats name. */
+  /** Sets the configuration revision that heartbeats carry. */
   setRevision(revision: number): void {
     this.#revision = Math.max(this.#revision, revision);
   }
 
-  /** Tells all members that this VM leaves. */
+  /** Notifies all members that this VM is leaving. */
   leave(now: number): readonly MembershipEffect[] {
-    return this.#opinions.self().state === "leaving"
+    return this.#states.self().state === "leaving"
       ? []
-      : [...this.#opinions.declare("leaving", now), ...this.#push(now)];
+      : [...this.#states.setSelfState("leaving", now), ...this.#push(now)];
   }
 
-  /** Takes in a message of a peer. */
+  /** Handles a message from a peer. */
   receive(
     message: MembershipMessage,
     now: number,
@@ -133,33 +133,33 @@
     switch (message.kind) {
       case "ping":
         return [
-          ...this.#takeHeartbeat(message, now),
-          ...this.#answerPing(message, now),
+          ...this.#handleHeartbeat(message, now),
+          ...this.#handlePing(message, now),
         ];
       case "ack":
         return [
-          ...this.#takeHeartbeat(message, now),
-          ...this.#takeAck(message, now),
+          ...this.#handleHeartbeat(message, now),
+          ...this.#handleAck(message, now),
         ];
       case "ping-request":
         return [
-          ...this.#takeHeartbeat(message, now),
-          ...this.#runErrand(message, now),
+          ...this.#handleHeartbeat(message, now),
+          ...this.#pingOnBehalf(message, now),
         ];
       case "news":
-        return this.#learnAll(message.news, { tell: true, now });
+        return this.#mergeAll(message.news, { propagate: true, now });
       case "compare":
-        return this.#answerCompare(message, now);
+        return this.#handleCompare(message, now);
       case "entries":
-        return this.#takeEntries(message, now);
+        return this.#handleEntries(message, now);
       default:
         return message satisfies never;
     }
   }
 
-  /** Lets time pass. */
+  /** Advances time. */
   tick(now: number): readonly MembershipEffect[] {
-    const wasPaused = now - this.#tickedAt > PAUSE_MS;
+    const wasPaused = now - this.#tickedAt > PAUSE_THRESHOLD_MS;
     this.#tickedAt = now;
     if (wasPaused) {
       this.#probes.reset();
@@ -179,10 +179,10 @@
   #startPeriod(now: number): readonly MembershipEffect[] {
     this.#periods += 1;
     this.#probes.endPeriod();
-    this.#errands.clear();
+    this.#indirectPings.clear();
     const effects = [
-      ...this.#judgeSilent(now),
-      ...this.#opinions.forget(now),
+      ...this.#updateUnresponsive(now),
+      ...this.#states.removeDead(now),
     ];
     this.#partners.refresh(this.#candidates(), now);
     const due = new Set(this.#probes.missed().keys());
@@ -190,11 +190,11 @@
     if (next !== undefined) {
       due.add(next);
     }
-    const lost = this.#periods % PROBE_DEAD_PERIODS === 0
-      ? this.#someLost()
+    const dead = this.#periods % PROBE_DEAD_PERIODS === 0
+      ? this.#nextDeadListed()
       : undefined;
-    if (lost !== undefined) {
-      due.add(lost);
+    if (dead !== undefined) {
+      due.add(dead);
     }
     for (const vm of due) {
       effects.push(...this.#ping(vm, this.#probes.start(vm, now), now));
@@ -202,19 +202,20 @@
     return effects;
   }
 
-  #judgeSilent(now: number): readonly MembershipEffect[] {
+  #updateUnresponsive(now: number): readonly MembershipEffect[] {
     const missed = [...this.#probes.missed()];
     const partners = this.#partners.list();
-    const silent = partners.filter((vm) => this.#probes.missed().has(vm));
-    const doubtsItself = silent.length > partners.length * SELF_DOUBT_SHARE &&
+    const unresponsive = partners.filter((vm) => this.#probes.missed().has(vm));
+    const suspectsSelf =
+      unresponsive.length > partners.length * SELF_FAULT_SHARE &&
       partners.length > 1;
     return missed.flatMap(([vm, periods]) => {
       if (this.member(vm) === undefined || this.member(vm)!.state === "dead") {
-        this.#probes.heard(vm);
+        this.#probes.clearMissed(vm);
         return [];
       }
-      const isDead = periods > SUSPECT_PERIODS && !doubtsItself;
-      return this.#opinions.judge(vm, isDead ? "dead" : "suspect", now);
+      const isDead = periods > SUSPECT_PERIODS && !suspectsSelf;
+      return this.#states.setState(vm, isDead ? "dead" : "suspect", now);
     });
   }
 
@@ -225,11 +226,11 @@
     return new Set(vms);
   }
 
-  /** A listed member that is held dead, a different one each time. */
-  #someLost(): VmId | undefined {
-    const lost = [...this.#opinions.view.entries()]
+  /** A listed member that is considered dead, a different one each time. */
+  #nextDeadListed(): VmId | undefined {
+    const dead = [...this.#states.view.entries()]
       .filter(({ member, listed }) => listed && member.state === "dead");
-    return lost[(this.#periods / PROBE_DEAD_PERIODS) % lost.length]?.member.vm;
+    return dead[(this.#periods / PROBE_DEAD_PERIODS) % dead.length]?.member.vm;
   }
 
   #ping(vm: VmId, sequence: number, now: number): readonly MembershipEffect[] {
@@ -237,13 +238,13 @@
     if (to === undefined) {
       return [];
     }
-    const first: NewsKey[] = [`member ${vm}`];
-    if (!this.#introduced.has(vm)) {
-      first.push(`member ${this.#from.vm}`);
+    const keys: UpdateKey[] = [`member ${vm}`];
+    if (!this.#introducedTo.has(vm)) {
+      keys.push(`member ${this.#from.vm}`);
     }
-    // Only a member that is in doubt needs to hear about itself, to contradict it.
-    const aboutIt = to.state === "joined" ? first.slice(1) : first;
-    const heartbeat = this.#heartbeat(aboutIt, now);
+    // Only a member that is not in state `joined` needs its own entry, to refute it.
+    const priority = to.state === "joined" ? keys.slice(1) : keys;
+    const heartbeat = this.#heartbeat(priority, now);
     return [
       this.#send(to, { kind: "ping", sequence, ...heartbeat }),
     ];
@@ -268,7 +269,7 @@
     );
   }
 
-  #runErrand(
+  #pingOnBehalf(
     message: MembershipMessage & { kind: "ping-request" },
     now: number,
   ): readonly MembershipEffect[] {
@@ -278,11 +279,11 @@
     const { subject } = message;
     const sequence = this.#probes.start(subject, now, { onBehalf: true });
     const { vm } = message.from;
-    this.#errands.set(sequence, { to: vm, sequence: message.sequence });
+    this.#indirectPings.set(sequence, { to: vm, sequence: message.sequence });
     return this.#ping(message.subject, sequence, now);
   }
 
-  #answerPing(
+  #handlePing(
     message: MembershipMessage & { kind: "ping" },
     now: number,
   ): readonly MembershipEffect[] {
@@ -291,32 +292,32 @@
       return [];
     }
     const { sequence } = message;
-    // A sender that is held suspect, dead or another instance hears so first.
-    const isDoubted = sender.instance !== message.from.instance ||
+    // A sender that is considered suspect, dead or a different instance gets its own entry first.
+    const needsRefuting = sender.instance !== message.from.instance ||
       sender.state !== "joined";
-    const first: NewsKey[] = isDoubted ? [`member ${sender.vm}`] : [];
-    const heartbeat = this.#heartbeat(first, now);
+    const priority: UpdateKey[] = needsRefuting ? [`member ${sender.vm}`] : [];
+    const heartbeat = this.#heartbeat(priority, now);
     return [this.#send(sender, { kind: "ack", sequence, ...heartbeat })];
   }
 
-  #takeAck(
+  #handleAck(
     message: MembershipMessage & { kind: "ack" },
     now: number,
   ): readonly MembershipEffect[] {
-    const vm = this.#probes.answered(message.sequence);
-    const errand = this.#errands.get(message.sequence);
-    this.#errands.delete(message.sequence);
-    this.#introduced.add(message.from.vm);
+    const vm = this.#probes.acknowledge(message.sequence);
+    const indirectPing = this.#indirectPings.get(message.sequence);
+    this.#indirectPings.delete(message.sequence);
+    this.#introducedTo.add(message.from.vm);
     const effects: MembershipEffect[] = [];
     if (vm !== undefined) {
-      this.#probes.heard(vm);
-      effects.push(...this.#opinions.clear(vm, now));
+      this.#probes.clearMissed(vm);
+      effects.push(...this.#states.clearSuspicion(vm, now));
     }
-    const asker = errand && this.member(errand.to);
-    if (errand !== undefined && asker !== undefined) {
-      const { sequence } = errand;
+    const requester = indirectPing && this.member(indirectPing.to);
+    if (indirectPing !== undefined && requester !== undefined) {
+      const { sequence } = indirectPing;
       const heartbeat = this.#heartbeat([`member ${message.from.vm}`], now);
-      effects.push(this.#send(asker, {
+      effects.push(this.#send(requester, {
         kind: "ack",
         sequence,
         subject: message.from.vm,
@@ -326,25 +327,28 @@
     return effects;
   }
 
-  #takeHeartbeat(
+  #handleHeartbeat(
     { from, revision, digest, news }: Heartbeat,
     now: number,
   ): readonly MembershipEffect[] {
-    const effects = [...this.#learnAll(news, { tell: true, now })];
+    const effects = [...this.#mergeAll(news, { propagate: true, now })];
     const sender = this.member(from.vm);
     if (sender === undefined) {
       return effects;
     }
     if (sender.instance === from.instance) {
-      this.#probes.heard(from.vm);
-      effects.push(...this.#opinions.clear(from.vm, now));
+      this.#probes.clearMissed(from.vm);
+      effects.push(...this.#states.clearSuspicion(from.vm, now));
     }
     if (revision > this.#revision) {
       const { vm, address } = sender;
       effects.push({ kind: "ahead", vm, address, revision });
     }
-    const { view } = this.#opinions;
-    if (digest !== view.digest() && now >= this.#comparedAt + COMPARE_MS) {
+    const { view } = this.#states;
+    if (
+      digest !== view.digest() &&
+      now >= this.#comparedAt + MIN_COMPARE_INTERVAL_MS
+    ) {
       this.#comparedAt = now;
       effects.push(this.#send(sender, {
         kind: "compare",
@@ -355,20 +359,20 @@
     return effects;
   }
 
-  #answerCompare(
+  #handleCompare(
     { from, buckets }: MembershipMessage & { kind: "compare" },
     now: number,
   ): readonly MembershipEffect[] {
-    const mine = this.#opinions.view.buckets();
-    const differing = mine.flatMap((sum, at) => sum === buckets[at] ? [] : at);
+    const local = this.#states.view.buckets();
+    const differing = local.flatMap((sum, at) => sum === buckets[at] ? [] : at);
     return this.#sendEntries(from.vm, { differing, reply: true, now });
   }
 
-  #takeEntries(
+  #handleEntries(
     message: MembershipMessage & { kind: "entries" },
     now: number,
   ): readonly MembershipEffect[] {
-    const effects = this.#learnAll(message.news, { tell: false, now });
+    const effects = this.#mergeAll(message.news, { propagate: false, now });
     const { from, reply, buckets: differing } = message;
     return reply
       ? [
@@ -393,9 +397,9 @@
     const buckets = new Set(differing);
     const members = this.members()
       .filter((member) => buckets.has(bucketOf(member.vm)))
-      .map((member): News => ({ kind: "member", member }));
+      .map((member): Update => ({ kind: "member", member }));
     const facts = this.#facts.all(now)
-      .map((fact): News => ({ kind: "fact", fact }));
+      .map((fact): Update => ({ kind: "fact", fact }));
     return [
       this.#send(to, {
         kind: "entries",
@@ -408,47 +412,48 @@
   }
 
   /**
-   * Takes news in. What a comparison of views brought is not told on: whoever
-   * has just started would go on telling everyone all that they know for hours.
+   * Merges updates. Those from a comparison of views are not propagated:
+   * otherwise a member that has just started would forward the entire view to
+   * everyone for hours.
    */
-  #learnAll(
-    news: readonly News[],
-    { tell, now }: { tell: boolean; now: number },
+  #mergeAll(
+    news: readonly Update[],
+    { propagate, now }: { propagate: boolean; now: number },
   ): readonly MembershipEffect[] {
     return news.flatMap((item) => {
       switch (item.kind) {
         case "member":
-          return this.#opinions.learn(item.member, { tell, now });
+          return this.#states.merge(item.member, { propagate, now });
         case "fact":
-          return this.#learnFact(item.fact, now);
+          return this.#mergeFact(item.fact, now);
         default:
           return item satisfies never;
       }
     });
   }
 
-  #learnFact(fact: Fact, now: number): readonly MembershipEffect[] {
-    if (!this.#facts.learn(fact, now)) {
+  #mergeFact(fact: Fact, now: number): readonly MembershipEffect[] {
+    if (!this.#facts.add(fact, now)) {
       return [];
     }
-    this.#news.add(`fact ${fact.key}`, { urgent: fact.urgent });
+    this.#updates.add(`fact ${fact.key}`, { urgent: fact.urgent });
     return [{ kind: "fact", fact }];
   }
 
-  #heartbeat(first: readonly NewsKey[], now: number): Heartbeat {
-    const riding = this.#news.takeForHeartbeat(this.#opinions.view.size);
+  #heartbeat(priority: readonly UpdateKey[], now: number): Heartbeat {
+    const queued = this.#updates.takeForHeartbeat(this.#states.view.size);
     return {
       from: this.#from,
       revision: this.#revision,
-      digest: this.#opinions.view.digest(),
-      news: this.#newsOf(new Set([...first, ...riding]), now),
+      digest: this.#states.view.digest(),
+      news: this.#updatesOf(new Set([...priority, ...queued]), now),
     };
   }
 
-  /** Sends urgent news to all partners at once: in a few hops it has reached everyone. */
+  /** Sends urgent updates to all partners immediately; they reach every member in a few hops. */
   #push(now: number): readonly MembershipEffect[] {
-    const keys = this.#news.takeUrgent();
-    const news = this.#newsOf(new Set(keys), now);
+    const keys = this.#updates.takeUrgent();
+    const news = this.#updatesOf(new Set(keys), now);
     if (news.length === 0) {
       return [];
     }
@@ -457,8 +462,8 @@
     );
   }
 
-  #newsOf(keys: ReadonlySet<NewsKey>, now: number): readonly News[] {
-    return [...keys].flatMap((key): News[] => {
+  #updatesOf(keys: ReadonlySet<UpdateKey>, now: number): readonly Update[] {
+    return [...keys].flatMap((key): Update[] => {
       if (key.startsWith("fact ")) {
         const fact = this.#facts.get(key.slice("fact ".length), now);
         return fact === undefined ? [] : [{ kind: "fact", fact }];
--- a/packages/coordination/src/membership/membership_test.ts
+++ b/packages/coordination/src/membership/membership_test.ts
@@ -26,7 +26,7 @@
   readonly state: MemberState;
 }
 
-/** A fleet on a virtual clock: 3 regions, 55 ms apart, as the larger deployment has. */
+/** A fleet on a virtual clock: 3 regions with 55 ms one-way delay, as in the larger deployment. */
 class Fleet {
   readonly cores = new Map<string, Membership>();
   readonly random = xoroshiro128plus(SEED);
@@ -35,8 +35,8 @@
   superseded: string[] = [];
   sent = 0;
   lossShare = 0;
-  cut: (from: string, to: string) => boolean = () => false;
-  #lives = 0;
+  isCut: (from: string, to: string) => boolean = () => false;
+  #instances = 0;
 
   constructor(size: number) {
     this.net = new VirtualNet<MembershipMessage>({
@@ -44,7 +44,7 @@
       tickMs: 100,
       delay: (from, to) => this.#delay(from, to),
       onSend: () => this.sent += 1,
-      onEffect: (at, effect) => this.#note(at, effect as MembershipEffect),
+      onEffect: (at, effect) => this.#record(at, effect as MembershipEffect),
     });
     this.vms(size).forEach((vm) => this.start(vm));
     this.cores.forEach((core) => core.listed(this.list(), 0));
@@ -56,29 +56,31 @@
 
   list(): readonly ListedMember[] {
     return [...this.cores.keys()]
-      .map((vm) => ({ ...placeOf(vm), state: "live" as const }));
+      .map((vm) => ({ ...locationOf(vm), state: "live" as const }));
   }
 
   start(vm: string): void {
-    this.#lives += 1;
+    this.#instances += 1;
     const core = new Membership({
       self: {
-        ...placeOf(vm),
-        instance: id<InstanceId>(`i${String(this.#lives).padStart(4, "0")}`),
+        ...locationOf(vm),
+        instance: id<InstanceId>(
+          `i${String(this.#instances).padStart(4, "0")}`,
+        ),
       },
-      random: xoroshiro128plus(SEED + this.#lives),
+      random: xoroshiro128plus(SEED + this.#instances),
       now: this.net.now,
     });
     this.cores.set(vm, core);
     this.net.add(vm, core);
   }
 
-  /** What `at` holds of `vm`. */
+  /** State of `vm` as seen by `at`. */
   state(at: string, vm: string): MemberState | undefined {
     return this.cores.get(at)!.member(id<VmId>(vm))?.state;
   }
 
-  /** States of `vm` as all others hold them. */
+  /** States of `vm` as seen by all others. */
   statesOf(vm: string): ReadonlySet<MemberState | undefined> {
     const others = [...this.cores.keys()].filter((at) => at !== vm);
     return new Set(others.map((at) => this.state(at, vm)));
@@ -90,12 +92,12 @@
   }
 
   #delay(from: string, to: string): number | undefined {
-    const isLost = this.cut(from, to) ||
+    const isLost = this.isCut(from, to) ||
       uniformInt(this.random, 0, 999) < this.lossShare * 1_000;
     return isLost ? undefined : regionOf(from) === regionOf(to) ? 2 : 55;
   }
 
-  #note(at: string, effect: MembershipEffect): void {
+  #record(at: string, effect: MembershipEffect): void {
     if (effect.kind === "changed") {
       const { vm, state } = effect.member;
       this.changes.push({ at, vm, state });
@@ -109,7 +111,7 @@
   return `r${Number(vm.slice(1)) % 3}`;
 }
 
-function placeOf(vm: string): Omit<ListedMember, "state"> {
+function locationOf(vm: string): Omit<ListedMember, "state"> {
   const region = id<RegionId>(regionOf(vm));
   const zone = id<ZoneId>(
     `${region}-${Math.floor(Number(vm.slice(1)) / 3) % 2}`,
@@ -117,11 +119,11 @@
   return { vm: id<VmId>(vm), region, zone, address: `10.0.0.${vm.slice(1)}:1` };
 }
 
-function died(fleet: Fleet): readonly Change[] {
+function deadChanges(fleet: Fleet): readonly Change[] {
   return fleet.changes.filter(({ state }) => state === "dead");
 }
 
-test("members of a fleet come to know each other's instances", () => {
+test("members of a fleet learn each other's instances", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   for (const core of fleet.cores.values()) {
@@ -129,9 +131,9 @@
   }
 });
 
-// A VM is told to stop. As long as one other VM does not know, it goes on
-// naming the stopping VM to callers, whose cached answers then outlive it.
-test("a leave is known to all within two seconds", () => {
+// A VM is about to stop. Any VM that does not know this still returns it in
+// look-ups to callers, whose cached results then outlive it.
+test("a leave reaches all members within two seconds", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.net.apply("e5", fleet.cores.get("e5")!.leave(fleet.net.now));
@@ -139,9 +141,9 @@
   expect(fleet.statesOf("e5")).toEqual(new Set(["leaving"]));
 });
 
-// One VM sees a target answer that it is draining. Its peers would go on
-// sending new work there until they had asked it themselves.
-test("a target's sign of leaving is known to all within two seconds, also under loss", () => {
+// One VM gets a response from a target that shows it is draining. Without the
+// fact, its peers would send new work there until they get such a response.
+test("a target's leaving reaches all members within two seconds, also under message loss", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.lossShare = 0.1;
@@ -163,8 +165,8 @@
   }
 });
 
-// A process is killed without a word, and the platform's list still names it.
-test("a VM that was killed is dead to all within ten seconds", () => {
+// A process crashes without notice, and the platform's list still contains it.
+test("a killed VM is considered dead by all within ten seconds", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.kill("e7");
@@ -172,9 +174,9 @@
   expect(fleet.statesOf("e7")).toEqual(new Set(["dead"]));
 });
 
-// Whoever gets no answer asks others to try. Were those to ask others in turn,
-// one dead VM would keep all the rest busy with nothing but asking.
-test("a VM that was killed costs the others few messages", () => {
+// A member without a response asks others to ping indirectly. If those asked
+// further members in turn, one dead VM would cause a storm of messages.
+test("a killed VM costs the others few messages", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   const before = fleet.sent;
@@ -182,37 +184,38 @@
   const usual = fleet.sent - before;
   fleet.kill("e5");
   fleet.net.run(10_000);
-  // Each of 11 asks in six periods, and has three others ask; then all tell all.
-  const most = 11 * 6 * (1 + 3 + 3) + 11 * 11;
-  expect(fleet.sent - before - usual).toBeLessThan(usual + most);
+  // Each of 11 members pings in six periods, three others ping for it with a
+  // request and a ping each, and finally all notify all.
+  const maxExtra = 11 * 6 * (1 + 3 + 3) + 11 * 11;
+  expect(fleet.sent - before - usual).toBeLessThan(usual + maxExtra);
 });
 
-// A link is gone for three seconds, less than the periods that a verdict takes.
-// Had each failed indirect probe counted as a period, the verdict would come
-// after one and a VM that lives would lose its callers.
-test("a short cut makes nobody dead", () => {
+// A VM is disconnected for three seconds, less than the time until a member is
+// declared dead. If each failed indirect ping counted as a missed period, that
+// would happen after one period, and a live VM would lose its callers.
+test("a short partition makes no member dead", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
-  fleet.cut = (from, to) => (from === "e7") !== (to === "e7");
+  fleet.isCut = (from, to) => (from === "e7") !== (to === "e7");
   fleet.net.run(3_000);
-  fleet.cut = () => false;
+  fleet.isCut = () => false;
   fleet.net.run(10_000);
-  expect(died(fleet)).toEqual([]);
+  expect(deadChanges(fleet)).toEqual([]);
 });
 
-// The network drops one message in ten for two minutes. A member that is
-// declared dead and alive again moves its callers and its slots each time.
-test("loss alone makes nobody dead", () => {
+// The network drops one message in ten for two minutes. Each time a member
+// changes between dead and alive, its callers and its slots move.
+test("message loss alone makes no member dead", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.lossShare = 0.1;
   fleet.net.run(120_000);
-  expect(died(fleet)).toEqual([]);
+  expect(deadChanges(fleet)).toEqual([]);
 });
 
-// One VM's process is frozen for a while. When it goes on, all answers it waits
-// for are late: judged by its own clock, everyone else has died.
-test("a VM that was paused accuses nobody and is taken back", () => {
+// A VM's process is paused. When it resumes, all responses it waits for are
+// overdue on its own clock, as if every other member had deadChanges.
+test("a VM that was paused declares nobody dead and rejoins", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.net.pause("e4");
@@ -222,28 +225,28 @@
   fleet.net.resume("e4");
   fleet.net.run(30_000);
   expect(fleet.statesOf("e4")).toEqual(new Set(["joined"]));
-  expect(died(fleet)).toEqual([]);
+  expect(deadChanges(fleet)).toEqual([]);
 });
 
-// A region loses its links to the two others for ten minutes. Were the dead
-// never asked again, the halves would stay apart after the links are back.
-test("two halves of a cut find each other again when it heals", () => {
+// A region loses its links to the two others for ten minutes. If dead members
+// were never pinged again, the two sides would stay separate afterwards.
+test("two sides of a partition rejoin when it heals", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
-  fleet.cut = (from, to) =>
+  fleet.isCut = (from, to) =>
     (regionOf(from) === "r0") !== (regionOf(to) === "r0");
   fleet.net.run(600_000);
   expect(fleet.state("e1", "e0")).toBe("dead");
-  fleet.cut = () => false;
+  fleet.isCut = () => false;
   fleet.net.run(60_000);
   for (const vm of fleet.cores.keys()) {
     expect(fleet.statesOf(vm)).toEqual(new Set(["joined"]));
   }
 });
 
-// A VM is restarted under the same name. Peers that hold on to the instance
-// before it would wait for answers of requests that nobody remembers.
-test("a restarted VM is known by its new instance, whatever was said of the old", () => {
+// A VM is restarted under the same name. Peers that still use the previous
+// instance would wait for responses to requests that no longer exist.
+test("a restarted VM is known by its new instance, whatever was reported of the old", () => {
   const fleet = new Fleet(12);
   fleet.net.run(10_000);
   fleet.start("e3");
@@ -257,13 +260,13 @@
   expect(fleet.superseded).toEqual([]);
 });
 
-// The platform's list lags: it still names a VM as leaving after its next
-// instance has started. The sign must not stick to the new one.
-test("a listed sign of leaving belongs to the instance it was seen for", () => {
+// The platform's list is stale: it still shows a VM as leaving after its next
+// instance has started. The state must not apply to the new instance.
+test("a listed leaving applies only to the instance it was seen for", () => {
   const fleet = new Fleet(6);
   fleet.net.run(10_000);
-  const stale = fleet.list().map((line) =>
-    line.vm === "e3" ? { ...line, state: "leaving" as const } : line
+  const stale = fleet.list().map((entry) =>
+    entry.vm === "e3" ? { ...entry, state: "leaving" as const } : entry
   );
   const reader = fleet.cores.get("e0")!;
   fleet.net.apply("e0", reader.listed(stale, fleet.net.now));
@@ -277,16 +280,16 @@
   expect(fleet.statesOf("e3")).toEqual(new Set(["joined"]));
 });
 
-/** What may happen to a fleet at random. */
+/** A random fault of the fleet. */
 const disturbance = fc.record({
   kind: fc.constantFrom("kill", "restart", "pause", "cut", "lose"),
   vm: fc.nat(8).map((n) => `e${n}`),
   forMs: fc.integer({ min: 100, max: 20_000 }),
 });
 
-// VMs die, restart and freeze, links are cut and lossy, one after the other.
-// Whatever is said meanwhile, in the end all must hold the same.
-test("after any disturbance all members come to agree on who lives", () => {
+// VMs crash, restart and pause, links fail and lose messages, one after the
+// other. Whatever was reported meanwhile, all members must agree in the end.
+test("after any disturbance no member considers a live member dead", () => {
   fc.assert(
     fc.property(fc.array(disturbance, { maxLength: 8 }), (disturbances) => {
       const fleet = new Fleet(9);
@@ -308,7 +311,7 @@
             paused.add(vm);
             break;
           case "cut":
-            fleet.cut = (from, to) => (from === vm) !== (to === vm);
+            fleet.isCut = (from, to) => (from === vm) !== (to === vm);
             break;
           case "lose":
             fleet.lossShare = 0.3;
@@ -316,7 +319,7 @@
         fleet.net.run(forMs);
       }
       paused.forEach((vm) => fleet.net.resume(vm));
-      fleet.cut = () => false;
+      fleet.isCut = () => false;
       fleet.lossShare = 0;
       const alive = [...fleet.cores.keys()];
       fleet.cores.forEach((core) => core.listed(fleet.list(), fleet.net.now));
--- a/packages/coordination/src/membership/messages.ts
+++ b/packages/coordination/src/membership/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What members tell each other: plain JSON that carries the sender's instance
- * and durations, never a wall-clock time.
+ * The messages between members: plain JSON with the sender's instance and with
+ * durations, never a wall-clock time.
  *
  * @module
  */
@@ -8,63 +8,63 @@
 import type { InstanceId, RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import type { Json } from "../table.ts";
 
-/** One life of a daemon on a VM: who sent a message. */
+/** One run of the daemon on a VM, as the sender of a message. */
 export interface Sender {
   readonly vm: VmId;
   readonly instance: InstanceId;
 }
 
-/** Where a member is and how peers reach it. */
-export interface MemberPlace {
+/** Location and address of a member. */
+export interface MemberLocation {
   readonly region: RegionId;
   readonly zone: ZoneId;
-  /** Address of the peers' listener, `host:port`. Opaque to this part. */
+  /** Address of its listener for peers, `host:port`. Not interpreted here. */
   readonly address: string;
 }
 
 /**
- * What is known of a member. `suspect`: its heartbeats go unanswered; `leaving`:
- * it serves what it has but takes nothing new; `dead`: gone until it says
- * otherwise itself.
+ * State of a member. `suspect`: its heartbeats go unanswered; `leaving`: it
+ * finishes its current work but accepts nothing new; `dead`: considered ended
+ * until the member itself contradicts it.
  */
 export type MemberState = "joined" | "suspect" | "leaving" | "dead";
 
-/** What one VM believes of another, or of itself. */
-export interface Member extends Sender, MemberPlace {
+/** A member as one VM sees it. */
+export interface Member extends Sender, MemberLocation {
   /**
-   * Grows each time the member contradicts what is said about it. Counts per VM,
-   * across restarts: a new instance takes over with a higher one.
+   * Incremented each time the member refutes a report about itself. It is counted
+   * per VM across restarts: a new instance takes over with a higher one.
    */
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** A small thing that all members should know for a while. */
+/** A key and value that all members know for a limited time. */
 export interface Fact {
-  /** What it is about, for example `leaving/target/t1`. */
+  /** For example `leaving/target/t1`. */
   readonly key: string;
-  /** The higher version of a key replaces the lower. */
+  /** A higher version of a key replaces a lower one. */
   readonly version: number;
   readonly value: Json;
-  /** Time it stays known, in ms, from when this copy was sent. */
+  /** Remaining lifetime when this copy was sent. */
   readonly lifetimeMs: number;
-  /** Sent on at once instead of with the next heartbeats. */
+  /** Forwarded immediately instead of with the next heartbeats. */
   readonly urgent: boolean;
 }
 
-/** Something that rides on a message. */
-export type News =
+/** An update that is piggybacked on a message. */
+export type Update =
   | { readonly kind: "member"; readonly member: Member }
   | { readonly kind: "fact"; readonly fact: Fact };
 
-/** What every heartbeat carries beside its purpose. */
+/** Fields that every heartbeat message carries. */
 export interface Heartbeat {
   readonly from: Sender;
   /** The sender's revision of the configuration. */
   readonly revision: number;
-  /** Digest of the sender's view; unequal digests lead to a comparison. */
+  /** Digest of the sender's view; different digests trigger a comparison. */
   readonly digest: number;
-  readonly news: readonly News[];
+  readonly news: readonly Update[];
 }
 
 /** A message between two members. */
@@ -73,7 +73,7 @@
   | (Heartbeat & {
     readonly kind: "ack";
     readonly sequence: number;
-    /** Whom this vouches for, where a ping went through another member. */
+    /** The member that was pinged, if the ping went through another member. */
     readonly subject?: VmId;
   })
   /** Asks the receiver to ping `subject` on the sender's behalf. */
@@ -83,11 +83,11 @@
     readonly subject: VmId;
     readonly address: string;
   })
-  /** Urgent news, sent as soon as it is known. */
+  /** Urgent updates, sent as soon as they are known. */
   | {
     readonly kind: "news";
     readonly from: Sender;
-    readonly news: readonly News[];
+    readonly news: readonly Update[];
   }
   /** Digests of the sender's view by bucket, to find where two views differ. */
   | {
@@ -95,22 +95,22 @@
     readonly from: Sender;
     readonly buckets: readonly number[];
   }
-  /** The sender's entries of the buckets that differ; `reply` asks for the receiver's. */
+  /** The sender's entries in the buckets that differ; `reply` requests the receiver's. */
   | {
     readonly kind: "entries";
     readonly from: Sender;
     readonly buckets: readonly number[];
-    readonly news: readonly News[];
+    readonly news: readonly Update[];
     readonly reply: boolean;
   };
 
-/** A line of the platform's VM list, as far as membership reads it. */
-export interface ListedMember extends MemberPlace {
+/** An entry of the platform's VM list, as far as membership reads it. */
+export interface ListedMember extends MemberLocation {
   readonly vm: VmId;
   readonly state: "live" | "leaving";
 }
 
-/** What a membership core wants done or known. */
+/** Output of a membership core: a message to send, or a notification. */
 export type MembershipEffect =
   | {
     readonly kind: "send";
@@ -118,23 +118,23 @@
     readonly address: string;
     readonly message: MembershipMessage;
   }
-  /** A member's state or instance changed, or it is new. */
+  /** A member is new, or its state or instance changed. */
   | {
     readonly kind: "changed";
     readonly member: Member;
     readonly before: Member | undefined;
   }
-  /** A member was dead for long and is out of the list: forgotten. */
+  /** A member was removed: long dead and no longer in the platform's list. */
   | { readonly kind: "forgotten"; readonly member: Member }
-  /** A fact is new, or replaced by a higher version. */
+  /** A fact is new or has a higher version. */
   | { readonly kind: "fact"; readonly fact: Fact }
   | { readonly kind: "fact-expired"; readonly key: string }
-  /** A peer has a higher revision of the configuration: ask it. */
+  /** A peer has a higher revision of the configuration, which should be requested from it. */
   | {
     readonly kind: "ahead";
     readonly vm: VmId;
     readonly address: string;
     readonly revision: number;
   }
-  /** Another instance has taken this VM's name over: this one should stop. */
+  /** Another instance has taken over this VM's name; this one should stop. */
   | { readonly kind: "superseded"; readonly by: Member };
--- a/packages/coordination/src/membership/mod.ts
+++ b/packages/coordination/src/membership/mod.ts
@@ -1,6 +1,7 @@
 /**
  * Membership and failure detection among VMs: heartbeats to a few random peers
- * with news riding on them, at a cost per VM that stays flat as the fleet grows.
+ * with piggybacked updates, at a cost per VM that stays constant as the fleet
+ * grows.
  *
  * @module
  */
@@ -10,11 +11,11 @@
   Heartbeat,
   ListedMember,
   Member,
-  MemberPlace,
+  MemberLocation,
   MembershipEffect,
   MembershipMessage,
   MemberState,
-  News,
   Sender,
+  Update,
 } from "./messages.ts";
 export { Membership, type MembershipOptions } from "./membership.ts";
--- a/packages/coordination/src/membership/partners.ts
+++ b/packages/coordination/src/membership/partners.ts
@@ -1,10 +1,11 @@
 /**
- * The few random members that this one sends its heartbeats to.
+ * The gossip partners of a member: a few random members to which it sends its
+ * heartbeats.
  *
- * Partners stay for a while, so that connections to them can be kept; one is
- * replaced now and then, so that over time everyone is a partner of everyone.
- * The graph that joins each member to its partners is random at any time, which
- * is what carries news to all in a few hops.
+ * Partners are kept for some time so that connections can be reused, and are
+ * replaced one at a time so that eventually every member is a partner of every
+ * other. The graph of members and their partners is random at any time, so
+ * updates reach all members in a few hops.
  *
  * @module
  */
@@ -13,22 +14,22 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { VmId } from "@poplarthread/ids";
 
-/** Replaces one partner this often: with 12 partners, each is kept for two minutes. */
-const ROTATE_MS = 10_000;
+/** Interval between replacements of one partner: with 12 partners, each is kept for two minutes. */
+const ROTATION_INTERVAL_MS = 10_000;
 
 /**
- * Partners beyond the logarithm of the members. In a random graph where each
- * of n has ln n + c successors, a push along all edges reaches all with
- * probability exp(-exp(-c)): 0.98 with 4.
+ * Partners in addition to the logarithm of the number of members. In a random
+ * graph where each of n nodes has ln n + c successors, a push along all edges
+ * reaches all nodes with probability exp(-exp(-c)): 0.98 with c = 4.
  */
-const BEYOND_LOGARITHM = 4;
+const EXTRA_PARTNERS = 4;
 
-/** The partners of one member, in the order in which they are pinged. */
+/** The partners of one member, in ping order. */
 export class Partners {
   readonly #random: RandomGenerator;
   #partners: VmId[] = [];
   #rotatedAt = -Infinity;
-  #turn = 0;
+  #position = 0;
 
   constructor(random: RandomGenerator) {
     this.#random = random;
@@ -38,45 +39,45 @@
     return this.#partners;
   }
 
-  /** Drops partners that are no candidates any more, fills up, and rotates when due. */
+  /** Removes partners that are no longer candidates, fills up the list, and replaces one when due. */
   refresh(candidates: ReadonlySet<VmId>, now: number): void {
     this.#partners = this.#partners.filter((vm) => candidates.has(vm));
-    const wanted = Math.min(
+    const size = Math.min(
       candidates.size,
-      Math.ceil(Math.log(candidates.size + 1)) + BEYOND_LOGARITHM,
+      Math.ceil(Math.log(candidates.size + 1)) + EXTRA_PARTNERS,
     );
-    const isDue = now >= this.#rotatedAt + ROTATE_MS;
-    if (isDue && this.#partners.length === wanted && wanted > 0) {
-      this.#partners.splice(this.#below(wanted), 1);
+    const isDue = now >= this.#rotatedAt + ROTATION_INTERVAL_MS;
+    if (isDue && this.#partners.length === size && size > 0) {
+      this.#partners.splice(this.#randomIndex(size), 1);
     }
     if (isDue) {
       this.#rotatedAt = now;
     }
     const others = [...candidates]
       .filter((vm) => !this.#partners.includes(vm));
-    while (this.#partners.length < wanted) {
-      const [vm] = others.splice(this.#below(others.length), 1);
+    while (this.#partners.length < size) {
+      const [vm] = others.splice(this.#randomIndex(others.length), 1);
       this.#partners.push(vm!);
     }
   }
 
-  /** Whose turn it is to be pinged. */
+  /** The next partner to ping, round-robin. */
   next(): VmId | undefined {
-    this.#turn += 1;
-    return this.#partners[this.#turn % this.#partners.length];
+    this.#position += 1;
+    return this.#partners[this.#position % this.#partners.length];
   }
 
   /** Up to `count` random partners other than `except`. */
   pick(count: number, except: VmId): readonly VmId[] {
-    const pool = this.#partners.filter((vm) => vm !== except);
+    const remaining = this.#partners.filter((vm) => vm !== except);
     const picked: VmId[] = [];
-    while (picked.length < count && pool.length > 0) {
-      picked.push(...pool.splice(this.#below(pool.length), 1));
+    while (picked.length < count && remaining.length > 0) {
+      picked.push(...remaining.splice(this.#randomIndex(remaining.length), 1));
     }
     return picked;
   }
 
-  #below(size: number): number {
-    return uniformInt(this.#random, 0, size - 1);
+  #randomIndex(length: number): number {
+    return uniformInt(this.#random, 0, length - 1);
   }
 }
--- a/packages/coordination/src/membership/view.ts
+++ b/packages/coordination/src/membership/view.ts
@@ -1,5 +1,5 @@
 /**
- * What one VM knows of the others, and how two opinions are weighed.
+ * One VM's view of the members, and the precedence between two versions of a member.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import { hash32 } from "../hash.ts";
 import type { Member, MemberState } from "./messages.ts";
 
-/** Buckets that two views are compared by: of 3,000 members, some 47 share one. */
+/** Number of buckets for comparing two views: with 3,000 members, about 47 share one. */
 export const BUCKETS = 64;
 
-/** Incarnation of a VM that only the platform's list has named. */
-export const UNHEARD = -1;
+/** Incarnation of a VM that is known only from the platform's list. */
+export const LISTED_ONLY = -1;
 
-/** Of two states under one incarnation, the later in this order prevails. */
+/** Of two states with the same incarnation, the higher value prevails. */
 const STATE_ORDER: Readonly<Record<MemberState, number>> = {
   joined: 0,
   suspect: 1,
@@ -22,28 +22,28 @@
   dead: 3,
 };
 
-/** A member and what is known only here. */
+/** A member with local information that is not sent to others. */
 export interface Entry {
   member: Member;
-  /** Whether the platform's list last named it. */
+  /** Whether the latest list of the platform contains it. */
   listed: boolean;
-  /** When it was first held dead here. */
+  /** When this VM first considered it dead. */
   deadAt: number;
 }
 
-/** Whether `a` says something newer than `b` about the same VM. */
+/** Whether `a` takes precedence over `b` for the same VM. */
 export function supersedes(a: Member, b: Member): boolean {
   if (a.incarnation !== b.incarnation) {
     return a.incarnation > b.incarnation;
   }
   if (a.instance !== b.instance) {
-    // Two lives claim one incarnation: any order will do, if all VMs use it.
+    // Two instances claim the same incarnation: any order works if all VMs use it.
     return a.instance > b.instance;
   }
   return STATE_ORDER[a.state] > STATE_ORDER[b.state];
 }
 
-/** The entries by VM, with a digest that is kept up to date. */
+/** Entries by VM, with an incrementally updated digest. */
 export class View {
   readonly #entries = new Map<VmId, Entry>();
   readonly #buckets = new Int32Array(BUCKETS);
@@ -60,36 +60,36 @@
     return this.#entries.values();
   }
 
-  /** Sets what is known of a member; the caller has weighed it. */
+  /** Sets a member without comparing it; the caller has checked precedence. */
   set(member: Member, now: number): Entry {
     const entry = this.#entries.get(member.vm) ??
       { member, listed: false, deadAt: now };
     if (this.#entries.has(member.vm)) {
-      this.#count(entry.member, -1);
+      this.#addToBucket(entry.member, -1);
     }
     if (member.state === "dead" && entry.member.state !== "dead") {
       entry.deadAt = now;
     }
     entry.member = member;
     this.#entries.set(member.vm, entry);
-    this.#count(member, 1);
+    this.#addToBucket(member, 1);
     return entry;
   }
 
   remove(vm: VmId): void {
     const entry = this.#entries.get(vm);
     if (entry !== undefined) {
-      this.#count(entry.member, -1);
+      this.#addToBucket(entry.member, -1);
       this.#entries.delete(vm);
     }
   }
 
-  /** Sums of the entries' hashes by bucket: equal views have equal sums. */
+  /** Sum of the entries' hashes for each bucket: equal views have equal sums. */
   buckets(): readonly number[] {
     return [...this.#buckets];
   }
 
-  /** One number for the whole view. */
+  /** A single digest of the entire view. */
   digest(): number {
     let digest = 0;
     for (const bucket of this.#buckets) {
@@ -98,11 +98,11 @@
     return digest;
   }
 
-  #count(member: Member, sign: 1 | -1): void {
-    if (member.incarnation === UNHEARD) {
+  #addToBucket(member: Member, sign: 1 | -1): void {
+    if (member.incarnation === LISTED_ONLY) {
       return;
     }
-    // Suspicion is one member's opinion and soon over: it never makes views unequal.
+    // A suspicion is local and short-lived, so it does not change the digest.
     const state = member.state === "suspect" ? "joined" : member.state;
     const { vm, instance, incarnation } = member;
     const hash = hash32(`${vm} ${instance} ${incarnation} ${state}`);
--- a/packages/coordination/src/virtual/mod.ts
+++ b/packages/coordination/src/virtual/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Runs cores of many VMs on a virtual clock in one process: for tests, and to
- * measure how a protocol behaves with thousands of members.
+ * Runs the cores of many VMs on a virtual clock in one process, for tests and
+ * for measuring protocols with thousands of members.
  *
  * @module
  */
@@ -8,27 +8,27 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 
-/** Effects of a core, of which those of kind `send` travel. */
+/** Effects of a core; those of kind `send` are delivered by the network. */
 export type VirtualEffect<Message> =
   | { readonly kind: "send"; readonly to: string; readonly message: Message }
   | { readonly kind: string };
 
-/** The core of one VM, as the network drives it. */
+/** The interface through which the network drives the core of one VM. */
 export interface VirtualNode<Message> {
   receive(message: Message, now: number): readonly VirtualEffect<Message>[];
   tick(now: number): readonly VirtualEffect<Message>[];
 }
 
-/** How the network treats messages. */
+/** Options of {@link VirtualNet}. */
 export interface VirtualNetOptions<Message> {
   readonly random: RandomGenerator;
-  /** Time between two ticks of a node, in ms. */
+  /** Tick interval of a node. */
   readonly tickMs: number;
-  /** One-way delay in ms; undefined loses the message. */
+  /** One-way delay in ms; undefined drops the message. */
   delay(from: string, to: string): number | undefined;
-  /** Sees every message when it is sent, lost ones included. */
+  /** Called for every message when it is sent, including dropped ones. */
   onSend?(from: string, to: string, message: Message): void;
-  /** Sees every effect that is not a message. */
+  /** Called for every effect that is not a message. */
   onEffect?(vm: string, effect: { readonly kind: string }, now: number): void;
 }
 
@@ -56,7 +56,7 @@
     return this.#now;
   }
 
-  /** Adds a node, or replaces it with its next life. Its first tick comes at a random time. */
+  /** Adds a node, or replaces it with its next instance. Its first tick is at a random time. */
   add(vm: string, node: VirtualNode<Message>): void {
     const isTicking = this.#nodes.has(vm) && !this.#paused.has(vm);
     this.#paused.delete(vm);
@@ -67,13 +67,13 @@
     }
   }
 
-  /** The node is gone; what is sent to it is lost. */
+  /** Removes the node; messages to it are dropped. */
   kill(vm: string): void {
     this.#nodes.delete(vm);
     this.#paused.delete(vm);
   }
 
-  /** The node does nothing until it is resumed; then what came meanwhile happens at once. */
+  /** Pauses the node. Its events are queued and run when it is resumed. */
   pause(vm: string): void {
     if (!this.#paused.has(vm)) {
       this.#paused.set(vm, []);
@@ -81,12 +81,12 @@
   }
 
   resume(vm: string): void {
-    const missed = this.#paused.get(vm) ?? [];
+    const queued = this.#paused.get(vm) ?? [];
     this.#paused.delete(vm);
-    missed.forEach((event) => this.#run(event));
+    queued.forEach((event) => this.#run(event));
   }
 
-  /** Carries out what a call to a core from outside returned. */
+  /** Carries out the effects returned by a direct call to a core. */
   apply(vm: string, effects: readonly VirtualEffect<Message>[]): void {
     for (const effect of effects) {
       if (isSend(effect)) {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Lets time pass; stops early when `until` holds, asked once each ms. */
+  /** Advances time; stops early when `until`, called every ms, returns true. */
   run(durationMs: number, until: () => boolean = () => false): void {
     const end = this.#now + durationMs;
     while (this.#now < end && !until()) {
@@ -109,9 +109,9 @@
   }
 
   #run(event: Event<Message>): void {
-    const waiting = this.#paused.get(event.vm);
-    if (waiting !== undefined) {
-      waiting.push(event);
+    const queue = this.#paused.get(event.vm);
+    if (queue !== undefined) {
+      queue.push(event);
       return;
     }
     const node = this.#nodes.get(event.vm);
