--- a/packages/coordination/src/escrow/borrowing.ts
+++ b/packages/coordination/src/escrow/borrowing.ts
@@ -11,28 +11,28 @@
   type Borrowed,
   type Context,
   entriesOf,
-  lastAskedAt,
-  newAskLog,
-  noteAsk,
+  lastSentAt,
+  newRequestLog,
   type PoolState,
+  recordRequest,
 } from "./state.ts";
 
-/** A request for a loan is repeated this often before another lender is asked. */
-const ATTEMPTS = 3;
+/** Number of attempts at one lender before another is requestedSlots. */
+const MAX_ATTEMPTS = 3;
 
 /**
- * Once every owner has refused, one is asked this often. Where all lack slots,
- * each of them would ask all others without a pause, in vain.
+ * Request interval once every owner has refused. Otherwise, when all owners lack
+ * slots, each would send requests to all others without pause.
  */
-const REFUSED_BY_ALL_MS = 1_000;
+const ALL_REFUSED_RETRY_MS = 1_000;
 
-/** Slots of a pool that this VM may use now, in use or not. */
+/** Slots of a pool that this VM may use now, whether in use or not. */
 export function heldOf(ctx: Context, pool: PoolId): number {
   return ownOf(ctx, pool) + loansOf(ctx, pool)
     .reduce((sum, [, loan]) => sum + loan.slots, 0);
 }
 
-/** Own slots of a pool that are not lent and whose term runs. */
+/** Owned slots of a pool that are not lent; 0 once the term has ended. */
 export function ownOf({ state, rules, now }: Context, pool: PoolId): number {
   const entry = state.pools[pool];
   if (entry === undefined || now >= state.validUntil) {
@@ -41,7 +41,7 @@
   return entry.share - rules.lentOf(state, pool);
 }
 
-/** Loans of a pool that have not ended. */
+/** Loans of a pool that have not expired. */
 export function loansOf(
   { state, now }: Context,
   pool: PoolId,
@@ -50,41 +50,41 @@
     .filter(([, loan]) => loan.pool === pool && now < loan.stopsAt);
 }
 
-/** Lengthens, returns and repeats what is due, and asks for what is lacking. */
-export function tendLoans(ctx: Context): void {
+/** Extends and returns loans, retries requests that are due, and requests missing slots. */
+export function updateLoans(ctx: Context): void {
   for (const [id, loan] of entriesOf<LoanId, Borrowed>(ctx.state.borrowed)) {
-    tendLoan(ctx, id, loan);
+    updateLoan(ctx, id, loan);
   }
   for (const [id, pool] of entriesOf<PoolId, PoolState>(ctx.state.pools)) {
-    askForLacking(ctx, id, pool);
+    requestMissing(ctx, id, pool);
   }
 }
 
-function tendLoan(ctx: Context, id: LoanId, loan: Borrowed): void {
+function updateLoan(ctx: Context, id: LoanId, loan: Borrowed): void {
   const { state, times, now } = ctx;
-  const granted = loan.slots > 0;
-  if (granted && now >= loan.stopsAt) {
+  const isGranted = loan.slots > 0;
+  if (isGranted && now >= loan.stopsAt) {
     delete state.borrowed[id];
     return;
   }
-  if (granted && loan.used === 0 && isSurplus(ctx, loan)) {
-    giveBack(ctx, id, loan);
+  if (isGranted && loan.used === 0 && isSurplus(ctx, loan)) {
+    returnLoan(ctx, id, loan);
     return;
   }
-  if (now < lastAskedAt(loan.asks) + times.retryMs) {
+  if (now < lastSentAt(loan.requests) + times.retryMs) {
     return;
   }
-  if (!granted) {
-    if (loan.asks.attempt >= ATTEMPTS) {
-      giveBack(ctx, id, loan);
+  if (!isGranted) {
+    if (loan.requests.attempt >= MAX_ATTEMPTS) {
+      returnLoan(ctx, id, loan);
     } else {
-      ask(ctx, id, loan);
+      sendRequest(ctx, id, loan);
     }
     return;
   }
-  const halfGone = loan.stopsAt - now < times.loanMs / 2;
-  if (halfGone && !isSurplus(ctx, loan)) {
-    ask(ctx, id, loan);
+  const isHalfOver = loan.stopsAt - now < times.loanMs / 2;
+  if (isHalfOver && !isSurplus(ctx, loan)) {
+    sendRequest(ctx, id, loan);
   }
 }
 
@@ -93,15 +93,15 @@
   return heldOf(ctx, loan.pool) - loan.slots >= wanted;
 }
 
-function askForLacking(ctx: Context, id: PoolId, pool: PoolState): void {
+function requestMissing(ctx: Context, id: PoolId, pool: PoolState): void {
   const { state } = ctx;
   if (pool.wanted === 0) {
     return;
   }
-  const lacking = pool.wanted - heldOf(ctx, id);
-  const asking = (Object.values(state.borrowed) as Borrowed[])
+  const missing = pool.wanted - heldOf(ctx, id);
+  const isRequesting = (Object.values(state.borrowed) as Borrowed[])
     .some((loan) => loan.pool === id && loan.slots === 0);
-  if (lacking <= 0 || asking || ctx.now < pool.askAgainAt) {
+  if (missing <= 0 || isRequesting || ctx.now < pool.nextRequestAt) {
     return;
   }
   const lender = chooseLender(ctx, id);
@@ -112,61 +112,62 @@
   const loan: Borrowed = {
     pool: id,
     lender,
-    asked: lacking,
+    requestedSlots: missing,
     slots: 0,
-    asks: newAskLog(),
+    requests: newRequestLog(),
     stopsAt: 0,
     used: 0,
   };
   const loanId = `${ctx.self.instance}/${state.loans}` as LoanId;
   state.borrowed[loanId] = loan;
-  ask(ctx, loanId, loan);
+  sendRequest(ctx, loanId, loan);
 }
 
-/** The owner that could last spare most; owners not heard from count as able to spare one. */
+/** The owner that last reported the most slots to lend; an owner without a report counts as one slot. */
 function chooseLender(ctx: Context, pool: PoolId): Sender | undefined {
   const { state, self } = ctx;
   const others = (state.plan?.owners ?? [])
     .filter(({ instance }) => instance !== self.instance);
-  let best: Sender | undefined;
-  let most = -1;
+  let lender: Sender | undefined;
+  let maxSpare = -1;
   for (let step = 0; step < others.length; step++) {
-    // The start moves on with each loan, so that equal lenders take turns.
+    // The starting owner changes with each loan, so that equal lenders are
+    // chosen in rotation.
     const owner = others[(state.loans + step) % others.length]!;
     const spare = state.spare[spareKey(owner, pool)] ?? 1;
-    if (spare > most) {
-      best = owner;
-      most = spare;
+    if (spare > maxSpare) {
+      lender = owner;
+      maxSpare = spare;
     }
   }
-  return best;
+  return lender;
 }
 
 function spareKey(owner: Sender, pool: PoolId): string {
   return `${owner.instance} ${pool}`;
 }
 
-function ask(ctx: Context, id: LoanId, loan: Borrowed): void {
-  const attempt = noteAsk(loan.asks, ctx.now);
+function sendRequest(ctx: Context, id: LoanId, loan: Borrowed): void {
+  const attempt = recordRequest(loan.requests, ctx.now);
   send(ctx, loan.lender, {
     kind: "borrow",
     from: ctx.self,
     loan: id,
     pool: loan.pool,
-    slots: loan.slots > 0 ? loan.slots : loan.asked,
+    slots: loan.slots > 0 ? loan.slots : loan.requestedSlots,
     durationMs: ctx.times.loanMs,
     attempt,
   });
 }
 
-/** Forgets the loan first and tells the lender after: a late grant finds nothing to revive. */
-function giveBack(ctx: Context, id: LoanId, loan: Borrowed): void {
+/** Removes the loan before notifying the lender, so that a late grant cannot restore it. */
+function returnLoan(ctx: Context, id: LoanId, loan: Borrowed): void {
   delete ctx.state.borrowed[id];
   send(ctx, loan.lender, { kind: "return", from: ctx.self, loan: id });
 }
 
-/** Takes in a grant; it counts from when its own request was sent. */
-export function takeGrant(
+/** Handles a grant; its duration counts from when its own request was sent. */
+export function handleGrant(
   ctx: Context,
   grant: EscrowMessage & { kind: "grant" },
 ): void {
@@ -179,14 +180,14 @@
     });
     return;
   }
-  const askedAt = loan.asks.sentAt[grant.attempt];
+  const askedAt = loan.requests.sentAt[grant.attempt];
   if (askedAt === undefined) {
     return;
   }
   const until = ctx.rules.holdsUntil(askedAt, grant.durationMs, ctx.now);
   if (until <= Math.max(ctx.now, loan.stopsAt)) {
-    // A late or repeated grant. The lender may have taken the loan back and
-    // given it anew with fewer slots since: its number must not come back.
+    // A late or duplicate grant. The lender may since have reclaimed the loan and
+    // granted it again with fewer slots, so this grant's number is outdated.
     return;
   }
   loan.slots = grant.slots;
@@ -194,8 +195,8 @@
   loan.stopsAt = until;
 }
 
-/** Takes in a refusal: a loan not yet granted ends, a granted one runs out by itself. */
-export function takeRefusal(
+/** Handles a refusal: a loan that was not granted ends, a granted one expires by itself. */
+export function handleRefusal(
   ctx: Context,
   refusal: EscrowMessage & { kind: "refuse" },
 ): void {
@@ -211,6 +212,6 @@
   const pool = ctx.state.pools[loan.pool]!;
   pool.refusals += 1;
   if (pool.refusals >= (ctx.state.plan?.owners.length ?? 0) - 1) {
-    pool.askAgainAt = ctx.now + REFUSED_BY_ALL_MS;
+    pool.nextRequestAt = ctx.now + ALL_REFUSED_RETRY_MS;
   }
 }
--- a/packages/coordination/src/escrow/escrow.ts
+++ b/packages/coordination/src/escrow/escrow.ts
@@ -7,14 +7,14 @@
 import type { InstanceId } from "@poplarthread/ids";
 import type { Sender } from "../membership/messages.ts";
 import {
+  handleGrant,
+  handleRefusal,
   heldOf,
   loansOf,
   ownOf,
-  takeGrant,
-  takeRefusal,
-  tendLoans,
+  updateLoans,
 } from "./borrowing.ts";
-import { answerBorrow, takeBackExpired, takeReturn } from "./lending.ts";
+import { handleBorrow, handleReturn, reclaimExpired } from "./lending.ts";
 import type {
   EscrowEffect,
   EscrowMessage,
@@ -25,12 +25,12 @@
 import {
   adoptPlan,
   announceLowered,
-  answerRenewal,
   extendTerm,
+  handleLowered,
+  handleRenew,
+  handleRenewed,
   renewTerm,
   settle,
-  takeLowered,
-  takeRenewal,
 } from "./ownership.ts";
 import { DEFAULT_RULES, type EscrowRules } from "./rules.ts";
 import {
@@ -48,39 +48,39 @@
   retryMs: 300,
 };
 
-/** Who this VM is, and how long things last. */
+/** Options of {@link Escrow}. */
 export interface EscrowOptions {
   readonly self: Sender;
   readonly times?: EscrowTimes;
-  /** Only a model that breaks a rule sets this. */
+  /** Set only by models that break a rule. */
   readonly rules?: EscrowRules;
 }
 
-/** What a request asks of a slot. */
+/** Requirements of a request for a slot. */
 export interface SlotNeed {
-  /** The request ends within this time, by its deadline. */
+  /** Time until the request's deadline. */
   readonly durationMs: number;
 }
 
 /**
- * Holds this VM's slots. Call {@link tick} every 100 ms or so. Each method that
- * changes something returns what to send and what changed.
+ * Manages this VM's slots. Call {@link tick} about every 100 ms. Each method that
+ * changes the state returns the messages to send and the changes.
  */
 export class Escrow {
   readonly #options: Required<EscrowOptions>;
   readonly #state: EscrowState;
-  /** Slots that were last reported as held, by pool. */
+  /** Last reported number of held slots, by pool. */
   readonly #reported = new Map<PoolId, number>();
-  /** The plan under which all pools were last looked at and nothing was in question. */
-  #calmPlan: EscrowPlan | undefined;
+  /** The plan for which all pools were last checked while settled and within the term. */
+  #stablePlan: EscrowPlan | undefined;
 
-  /** `state` continues a copied core; a daemon that starts passes none and so forgets safely. */
+  /** `state` continues a copied core; a starting daemon passes none, since it must not rely on earlier state. */
   constructor(options: EscrowOptions, state: EscrowState = initialState()) {
     this.#options = { times: DEFAULT_TIMES, rules: DEFAULT_RULES, ...options };
     this.#state = state;
   }
 
-  /** The plan that this VM goes by. */
+  /** The current plan of this VM. */
   get plan(): EscrowPlan | undefined {
     return this.#state.plan;
   }
@@ -90,15 +90,16 @@
     return this.#state.raised;
   }
 
-  /** Takes in a plan; an older or equal epoch is ignored. */
+  /** Adopts a plan; one with an older or equal epoch is ignored. */
   adopt(plan: EscrowPlan, now: number): readonly EscrowEffect[] {
-    this.#calmPlan = undefined;
+    this.#stablePlan = undefined;
     return this.#step(now, (ctx) => adoptPlan(ctx, plan));
   }
 
   /**
-   * The table was read and `epoch` was the newest there. `askedAt` is when the
-   * read was sent, on this VM's clock: a plan written since then is not seen.
+   * Reports a read of the table that found `epoch` as the newest. `askedAt` is
+   * when the read was sent, on this VM's clock: it does not cover a plan written
+   * after that.
    */
   confirmCurrent(
     epoch: number,
@@ -111,36 +112,36 @@
     });
   }
 
-  /** Takes in a message of a peer. */
+  /** Handles a message from a peer. */
   receive(message: EscrowMessage, now: number): readonly EscrowEffect[] {
     const pools = touchedBy(message, this.#state);
     return this.#step(now, (ctx) => receive(ctx, message), pools);
   }
 
-  /** Lets time pass. */
+  /** Advances time. */
   tick(now: number): readonly EscrowEffect[] {
     return this.#step(now, (ctx) => {
       renewTerm(ctx);
       announceLowered(ctx);
-      tendLoans(ctx);
+      updateLoans(ctx);
     });
   }
 
-  /** Asks for loans until this VM holds `slots` of a pool; 0 ends the wish. */
+  /** Requests loans until this VM holds `slots` of a pool; 0 stops the requests. */
   want(pool: PoolId, slots: number, now: number): readonly EscrowEffect[] {
     return this.#step(now, (ctx) => {
       const entry = ctx.state.pools[pool];
       if (entry !== undefined) {
         entry.refusals = slots === entry.wanted ? entry.refusals : 0;
         entry.wanted = slots;
-        tendLoans(ctx);
+        updateLoans(ctx);
       }
     });
   }
 
   /**
-   * The platform says that an instance is gone, and was for longer than any
-   * request's deadline: it holds nothing any more.
+   * Reports that, according to the platform, an instance ended longer ago than
+   * any request's deadline, so it holds no slots.
    */
   gone(instance: InstanceId, now: number): readonly EscrowEffect[] {
     return this.#step(now, ({ state }) => {
@@ -150,12 +151,12 @@
     });
   }
 
-  /** Slots of a pool that this VM may use, in use or not. */
+  /** Slots of a pool that this VM may use, whether in use or not. */
   held(pool: PoolId, now: number): number {
     return heldOf(this.#context(now), pool);
   }
 
-  /** Slots of a pool that are free for a request of `need`. */
+  /** Slots of a pool that are free for a request with `need`. */
   free(pool: PoolId, need: SlotNeed, now: number): number {
     const ctx = this.#context(now);
     const endsAt = now + need.durationMs;
@@ -166,9 +167,9 @@
   }
 
   /**
-   * Takes a slot for one request; undefined when none is free for that long. A
-   * request never outlives the right to its slot: it would still run on the
-   * target while the slot is someone else's.
+   * Takes a slot for one request; undefined if none is free for that duration. A
+   * request must end before the right to its slot does: otherwise it would still
+   * run on the target while another VM uses the slot.
    */
   acquire(pool: PoolId, need: SlotNeed, now: number): SlotUse | undefined {
     const ctx = this.#context(now);
@@ -186,7 +187,7 @@
     return undefined;
   }
 
-  /** Gives a slot back. */
+  /** Releases a slot. */
   release(use: SlotUse, now: number): readonly EscrowEffect[] {
     return this.#step(now, ({ state }) => {
       if (use.loan === undefined) {
@@ -204,18 +205,18 @@
     return { ...this.#options, state: this.#state, now, effects: [] };
   }
 
-  /** Pools that time alone may change: those with loans, or all while a plan or the term is in question. */
+  /** Pools whose held slots may change by elapsed time alone: those with loans, or all (undefined) while the plan is not settled or the term has ended. */
   #changeable(now: number): readonly PoolId[] | undefined {
     const { plan, raised, validUntil, lent, borrowed } = this.#state;
-    const isCalm = raised && now < validUntil && plan === this.#calmPlan;
-    this.#calmPlan = raised && now < validUntil ? plan : undefined;
-    return isCalm
+    const isStable = raised && now < validUntil && plan === this.#stablePlan;
+    this.#stablePlan = raised && now < validUntil ? plan : undefined;
+    return isStable
       ? [...Object.values(lent), ...Object.values(borrowed)]
         .map((loan) => (loan as { pool: PoolId }).pool)
       : undefined;
   }
 
-  /** Runs a step; `pools` bounds those whose slots it may change. */
+  /** Runs a step; `pools` lists the pools whose slots it may change, all if undefined. */
   #step(
     now: number,
     body: (ctx: Context) => void,
@@ -223,7 +224,7 @@
   ): readonly EscrowEffect[] {
     const ctx = this.#context(now);
     const touched = pools ?? this.#changeable(now);
-    takeBackExpired(ctx);
+    reclaimExpired(ctx);
     body(ctx);
     settle(ctx);
     for (const pool of touched ?? poolsOf(ctx.state)) {
@@ -241,7 +242,7 @@
   return entriesOf(state.pools).map(([pool]) => pool);
 }
 
-/** The pools that a message may change, or undefined for all. Most messages are about one loan. */
+/** The pools that a message may change, or undefined for all. Most messages concern a single loan. */
 function touchedBy(
   message: EscrowMessage,
   state: EscrowState,
@@ -271,17 +272,17 @@
 function receive(ctx: Context, message: EscrowMessage): void {
   switch (message.kind) {
     case "borrow":
-      return answerBorrow(ctx, message);
+      return handleBorrow(ctx, message);
     case "grant":
-      return takeGrant(ctx, message);
+      return handleGrant(ctx, message);
     case "refuse":
-      return takeRefusal(ctx, message);
+      return handleRefusal(ctx, message);
     case "return":
-      return takeReturn(ctx, message.loan);
+      return handleReturn(ctx, message.loan);
     case "renew":
-      return answerRenewal(ctx, message);
+      return handleRenew(ctx, message);
     case "renewed":
-      return takeRenewal(ctx, message);
+      return handleRenewed(ctx, message);
     case "outdated":
       if (message.epoch > (ctx.state.plan?.epoch ?? 0)) {
         ctx.effects.push({
@@ -292,10 +293,10 @@
       }
       return;
     case "lowered":
-      return takeLowered(ctx, message);
+      return handleLowered(ctx, message);
     case "lowered-seen":
       if (message.epoch === ctx.state.plan?.epoch) {
-        ctx.state.heardLowered.push(message.from.instance);
+        ctx.state.loweredAckedBy.push(message.from.instance);
       }
       return;
     default:
--- a/packages/coordination/src/escrow/escrow_test.ts
+++ b/packages/coordination/src/escrow/escrow_test.ts
@@ -3,7 +3,7 @@
 import { EscrowWorld, POOL, TIMES } from "./escrow_world.ts";
 
 const SEED = 20_261;
-/** No verdict hangs on time; a busy host only takes longer to explore. */
+/** Test timeout. The result does not depend on time, but a busy host needs longer. */
 const EXPLORING_MS = 60_000;
 const ALL = [0, 1, 2, 3];
 
@@ -28,7 +28,7 @@
   run(world: EscrowWorld): void;
 }
 
-/** One step of a random trace; after each, no slot may be held twice. */
+/** One step of a random trace; no slot may be held twice after any step. */
 class Command implements fc.Command<object, EscrowWorld> {
   readonly #step: Step;
 
@@ -53,7 +53,7 @@
 const node = fc.nat(3);
 type Run = (world: EscrowWorld) => void;
 const some = fc.subarray(ALL, { minLength: 1 });
-/** Steps with their weights: most traces should have loans running when something breaks. */
+/** Steps and their weights, chosen so that most traces have active loans when a fault occurs. */
 const steps: Readonly<Record<string, [number, fc.Arbitrary<Run>]>> = {
   advance: [3, fc.nat(600).map((ms) => (world) => world.now += ms)],
   run: [
@@ -97,10 +97,10 @@
   )
 );
 
-// Messages are lost, repeated and overtaken; VMs freeze and restart; plans
-// change while loans run. Were a slot counted on two VMs even for an instant,
-// a target with three slots would be sent a fourth request and refuse it.
-test("slots held and in use never exceed the total, whatever happens", {
+// Messages are lost, duplicated and reordered; VMs pause and restart; plans
+// change while loans are active. If a slot were ever counted on two VMs, a
+// target with three slots would be sent a fourth request and refuse it.
+test("slots held and in use never exceed the total under any faults", {
   timeout: EXPLORING_MS,
 }, () => {
   fc.assert(
@@ -113,14 +113,14 @@
   );
 });
 
-test("after the first plan every slot is held by someone", () => {
+test("after the first plan every slot is held", () => {
   const world = settledWorld();
   expect(sum(heldByAll(world))).toBe(8);
 });
 
-// A VM in a busy zone has used up its own slots while others idle. Without
-// loans its callers would wait beside free slots.
-test("a VM that lacks slots borrows what others can spare, and gives it back", () => {
+// A VM in a busy zone uses all its own slots while others are idle. Without
+// loans its callers would wait although slots are free.
+test("a VM that lacks slots borrows from others, and returns the loans", () => {
   const world = settledWorld();
   const before = world.held(0);
   world.act(0, (core, now) => core.want(POOL, before + 3, now));
@@ -133,9 +133,9 @@
   expect(sum(heldByAll(world))).toBe(8);
 });
 
-// A VM dies for good. Its slots would be lost to the callers of all others
-// until an operator stepped in.
-test("the slots of a VM that died go to the others after its term", () => {
+// A VM fails permanently. Without the transfer its slots would stay unusable
+// until an operator intervened.
+test("the slots of a failed VM go to the others after its term", () => {
   const world = settledWorld();
   world.nodes[3]!.paused = true;
   world.writePlan(0, [0, 1, 2]);
@@ -146,18 +146,18 @@
   expect(sum([0, 1, 2].map((n) => world.held(n)))).toBe(8);
 });
 
-// Two VMs are cut off from the rest but see each other, and vouch for each
-// other's term. Handing their slots to others would use them twice.
-test("the slots of two silent VMs stay theirs until the platform says they are gone", () => {
+// Two VMs are partitioned from the rest but reach each other, and renew each
+// other's terms. If others received their slots, those would be used twice.
+test("two unresponsive VMs keep their slots until the platform reports that they have ended", () => {
   const world = settledWorld();
   const theirs = world.held(2) + world.held(3);
-  const silent = [2, 3].map((n) => world.nodes[n]!);
-  silent.forEach((node) => node.paused = true);
+  const unresponsive = [2, 3].map((n) => world.nodes[n]!);
+  unresponsive.forEach((node) => node.paused = true);
   world.writePlan(0, [0, 1]);
   [0, 1].forEach((n) => world.readPlan(n));
   world.run(TIMES.termMs * 3);
   expect(world.held(0) + world.held(1)).toBe(8 - theirs);
-  for (const { self } of silent) {
+  for (const { self } of unresponsive) {
     world.act(0, (core, now) => core.gone(self.instance, now));
     world.act(1, (core, now) => core.gone(self.instance, now));
   }
--- a/packages/coordination/src/escrow/escrow_world.ts
+++ b/packages/coordination/src/escrow/escrow_world.ts
@@ -1,6 +1,7 @@
 /**
- * Several escrow cores and a network that loses, repeats and reorders, for
- * tests. Time is the world's; each core sees it through a clock of its own.
+ * Several escrow cores and a network that loses, duplicates and reorders
+ * messages, for tests. Each core reads the world's time through a clock of its
+ * own, with a rate and an offset.
  *
  * @module
  */
@@ -18,9 +19,9 @@
 import { nextPlan } from "./plan.ts";
 import type { EscrowTimes } from "./state.ts";
 
-/** The one pool of the world. */
+/** The only pool of the world. */
 export const POOL = id<PoolId>("target-1");
-/** Short times, so that terms and loans end within a few steps. */
+/** Short durations, so that terms and loans end within a few steps. */
 export const TIMES: EscrowTimes = {
   termMs: 4_000,
   loanMs: 1_000,
@@ -33,7 +34,7 @@
   self: Sender;
   core: Escrow;
   paused: boolean;
-  /** The clock runs at this rate, from this reading. */
+  /** The node's clock reads the world's time multiplied by `rate`, plus `offset`. */
   readonly rate: number;
   readonly offset: number;
 }
@@ -49,7 +50,7 @@
   readonly message: EscrowMessage;
 }
 
-/** The world: nodes, messages on their way, and work on the target. */
+/** The simulated nodes, the messages in flight, and the requests on the target. */
 export class EscrowWorld {
   readonly total: number;
   readonly nodes: Node[] = [];
@@ -57,19 +58,19 @@
   network: Envelope[] = [];
   #plan: EscrowPlan | undefined;
   #uses: Use[] = [];
-  #lives = 0;
+  #instances = 0;
 
-  /** One node per clock rate. */
+  /** Creates one node for each clock rate. */
   constructor(total: number, rates: readonly number[]) {
     this.total = total;
     for (const [n, rate] of rates.entries()) {
-      const self = this.#newLife(id<VmId>(`e${n}`));
+      const self = this.#newInstance(id<VmId>(`e${n}`));
       const core = new Escrow({ self, times: TIMES });
       this.nodes.push({ self, core, paused: false, rate, offset: n * 1e6 });
     }
   }
 
-  /** Writes the next plan to the table, as planned by node `planner`. */
+  /** Writes the next plan to the table, created by node `planner`. */
   writePlan(planner: number, owners: readonly number[]): void {
     const { core } = this.nodes[planner]!;
     this.#plan = nextPlan(this.#plan, {
@@ -103,7 +104,7 @@
     }
   }
 
-  /** Delivers one message on its way; `keep` leaves a copy to come again. */
+  /** Delivers one message in flight; `keep` leaves a copy that may be delivered again. */
   deliver(at: number, keep: boolean): void {
     const envelope = this.network[at % this.network.length];
     const n = this.nodes.findIndex(({ self }) => self.vm === envelope?.to);
@@ -120,7 +121,7 @@
     this.network.splice(at % this.network.length, 1);
   }
 
-  /** Takes a slot for work that lasts `durationMs`. */
+  /** Takes a slot for a request that lasts `durationMs`. */
   acquire(n: number, durationMs: number): void {
     const node = this.nodes[n]!;
     if (node.paused) {
@@ -133,7 +134,7 @@
     }
   }
 
-  /** Work ends on the target; its VM learns of it if it is still the same instance. */
+  /** Ends a request on the target; its VM releases the slot if it is still the same instance. */
   finish(at: number): void {
     const [done] = this.#uses.splice(at % Math.max(1, this.#uses.length), 1);
     const n = this.nodes.findIndex(({ self }) => self === done?.owner);
@@ -142,17 +143,17 @@
     }
   }
 
-  /** The process dies with all it knew; its work on the target goes on. */
+  /** Restarts the process without its state; its requests on the target continue. */
   restart(n: number): void {
     const node = this.nodes[n]!;
-    node.self = this.#newLife(node.self.vm);
+    node.self = this.#newInstance(node.self.vm);
     node.core = new Escrow({ self: node.self, times: TIMES });
     node.paused = false;
   }
 
   /**
-   * Lets time pass for the nodes `among`, with nothing lost between them. The
-   * others do nothing, and what is sent to them stays on its way.
+   * Advances time for the nodes `among`, without message loss between them. The
+   * others do nothing, and messages to them stay in flight.
    */
   run(durationMs: number, among: readonly number[] = this.#all()): void {
     for (let step = 0; step < durationMs; step += STEP_MS) {
@@ -171,7 +172,7 @@
     }
   }
 
-  /** Slots that are in use or may be taken into use at this instant. */
+  /** Slots that are in use or could be acquired now. */
   occupied(): number {
     const uses = this.#uses.filter(({ endsAt }) => endsAt > this.now);
     const living = this.nodes.map((node) => {
@@ -198,8 +199,8 @@
     return this.nodes.map((_, n) => n);
   }
 
-  #newLife(vm: VmId): Sender {
-    this.#lives += 1;
-    return { vm, instance: id<InstanceId>(`${vm}-${this.#lives}`) };
+  #newInstance(vm: VmId): Sender {
+    this.#instances += 1;
+    return { vm, instance: id<InstanceId>(`${vm}-${this.#instances}`) };
   }
 }
--- a/packages/coordination/src/escrow/lending.ts
+++ b/packages/coordination/src/escrow/lending.ts
@@ -1,6 +1,6 @@
 /**
- * The lender's side of a loan. Every step lowers the lender's own count before
- * the borrower can know of it.
+ * The lender's side of a loan. Each step lowers the lender's own count before the
+ * borrower can learn of it.
  *
  * @module
  */
@@ -11,48 +11,51 @@
 
 type Borrow = EscrowMessage & { kind: "borrow" };
 
-/** Lends, lengthens a loan, or refuses. */
-export function answerBorrow(ctx: Context, asked: Borrow): void {
+/** Handles a loan request: lends, extends the loan, or refuses. */
+export function handleBorrow(ctx: Context, request: Borrow): void {
   const { state } = ctx;
-  const known = state.lent[asked.loan];
-  if (known === undefined && state.closed[asked.loan] !== undefined) {
-    // A repeat of a request for a loan that was given back would lock its slots
-    // until they expire.
-    return refuse(ctx, asked);
+  const known = state.lent[request.loan];
+  if (known === undefined && state.closed[request.loan] !== undefined) {
+    // If a duplicate request for a returned loan were granted, its slots would be
+    // unusable until the loan expires.
+    return refuse(ctx, request);
   }
-  const durationMs = grantableMs(ctx, asked.durationMs);
+  const durationMs = grantableMs(ctx, request.durationMs);
   const slots = known?.slots ??
-    Math.min(asked.slots, spareOf(ctx, asked.pool));
+    Math.min(request.slots, spareOf(ctx, request.pool));
   if (slots <= 0 || durationMs <= 0) {
-    return refuse(ctx, asked);
+    return refuse(ctx, request);
   }
   const takeBackAt = ctx.rules.takesBackAt(durationMs, ctx.now);
   if (known === undefined) {
-    state.lent[asked.loan] = {
-      pool: asked.pool,
+    state.lent[request.loan] = {
+      pool: request.pool,
       slots,
-      borrower: asked.from,
+      borrower: request.from,
       takeBackAt,
     };
   } else {
     known.takeBackAt = Math.max(known.takeBackAt, takeBackAt);
   }
-  send(ctx, asked.from, {
+  send(ctx, request.from, {
     kind: "grant",
     from: ctx.self,
-    loan: asked.loan,
+    loan: request.loan,
     slots,
-    attempt: asked.attempt,
+    attempt: request.attempt,
     durationMs,
   });
 }
 
-/** A loan ends before the lender's own term does: what it may not use it may not lend. */
-function grantableMs({ state, times, now }: Context, asked: number): number {
-  return Math.min(asked, times.loanMs, state.validUntil - now);
+/** A loan ends before the lender's own term: slots that the lender may not use it may not lend. */
+function grantableMs(
+  { state, times, now }: Context,
+  requestedMs: number,
+): number {
+  return Math.min(requestedMs, times.loanMs, state.validUntil - now);
 }
 
-/** Half of what is free, rounded up: the lender's own callers come next. */
+/** Half of the free slots, rounded up; the rest is kept for the lender's own callers. */
 export function spareOf(ctx: Context, pool: PoolId): number {
   const { state, rules } = ctx;
   const entry = state.pools[pool];
@@ -63,24 +66,24 @@
   return Math.ceil(Math.max(0, free) / 2);
 }
 
-function refuse(ctx: Context, asked: Borrow): void {
-  send(ctx, asked.from, {
+function refuse(ctx: Context, request: Borrow): void {
+  send(ctx, request.from, {
     kind: "refuse",
     from: ctx.self,
-    loan: asked.loan,
-    spare: spareOf(ctx, asked.pool),
+    loan: request.loan,
+    spare: spareOf(ctx, request.pool),
   });
 }
 
-/** The borrower has stopped: the slots are this VM's again. */
-export function takeReturn(ctx: Context, loan: LoanId): void {
+/** Handles a returned loan: this VM may use the slots again. */
+export function handleReturn(ctx: Context, loan: LoanId): void {
   const { state, times, now } = ctx;
   delete state.lent[loan];
   state.closed[loan] = now + times.loanMs;
 }
 
-/** Takes back what has run out, and forgets what was closed long ago. */
-export function takeBackExpired(ctx: Context): void {
+/** Reclaims expired loans, and removes old entries of closed loans. */
+export function reclaimExpired(ctx: Context): void {
   const { state, now } = ctx;
   for (const [id, loan] of entriesOf<LoanId, Lent>(state.lent)) {
     if (now >= loan.takeBackAt) {
--- a/packages/coordination/src/escrow/messages.ts
+++ b/packages/coordination/src/escrow/messages.ts
@@ -1,6 +1,6 @@
 /**
- * The words of slot escrow: pools, plans, and what owners tell each other.
- * Messages are plain JSON with the sender's instance and durations only.
+ * The types of slot escrow: pools, plans, and the messages between owners.
+ * Messages are plain JSON with the sender's instance and with durations only.
  *
  * @module
  */
@@ -8,34 +8,34 @@
 import type { Brand, VmId } from "@poplarthread/ids";
 import type { Sender } from "../membership/messages.ts";
 
-/** A number of slots that several VMs share: a target's, or a region's for a service. */
+/** Identifies slots that several VMs share: those of a target, or of a region for a service. */
 export type PoolId = Brand<"PoolId">;
-/** One loan, unique over all instances. */
+/** Identifies a loan, unique across all instances. */
 export type LoanId = Brand<"LoanId">;
 
-/** A pool and how many slots there are in all. */
+/** A pool and its total number of slots. */
 export interface Pool {
   readonly pool: PoolId;
   readonly total: number;
 }
 
 /**
- * Who owns the slots of some pools. Written to the table under the lease's
- * fencing token, so that two planners cannot both fix the owners of one epoch.
+ * The owners of the slots of some pools. It is written to the table under the
+ * lease's fencing token, so that two planners cannot both define one epoch.
  */
 export interface EscrowPlan {
-  /** Grows with each plan. */
+  /** Increases with each plan. */
   readonly epoch: number;
-  /** Instances that own slots, by rendezvous hash. A restarted VM owns nothing until a plan names its new instance. */
+  /** Instances among which rendezvous hashing divides the slots. A restarted VM owns nothing until a plan names its new instance. */
   readonly owners: readonly Sender[];
-  /** Instances that may still hold slots by an earlier epoch. */
+  /** Instances that may still hold slots from an earlier epoch. */
   readonly earlierOwners: readonly Sender[];
   readonly pools: readonly Pool[];
 }
 
-/** A message between two members of one plan. */
+/** A message between two instances of a plan. */
 export type EscrowMessage =
-  /** Asks for a loan, or for a longer one where the loan is known. */
+  /** Requests a loan, or the extension of an existing one. */
   | {
     readonly kind: "borrow";
     readonly from: Sender;
@@ -43,15 +43,15 @@
     readonly pool: PoolId;
     readonly slots: number;
     readonly durationMs: number;
-    /** Counts the requests for this loan; the grant names the one it answers. */
+    /** Number of the request for this loan; the grant carries that of the request it responds to. */
     readonly attempt: number;
   }
-  /** The lender has lowered its own count; the loan lasts from when the borrower asked. */
+  /** The lender has lowered its own count; the loan's duration counts from the borrower's request. */
   | {
     readonly kind: "grant";
     readonly from: Sender;
     readonly loan: LoanId;
-    /** At most as many as were asked for. */
+    /** At most as many as requested. */
     readonly slots: number;
     readonly attempt: number;
     readonly durationMs: number;
@@ -60,12 +60,12 @@
     readonly kind: "refuse";
     readonly from: Sender;
     readonly loan: LoanId;
-    /** Slots the lender could spare now. */
+    /** Slots that the lender could lend now. */
     readonly spare: number;
   }
-  /** The borrower has stopped using the loan. */
+  /** The borrower no longer uses the loan. */
   | { readonly kind: "return"; readonly from: Sender; readonly loan: LoanId }
-  /** Asks a fellow owner to vouch that `epoch` is the newest it knows. */
+  /** Asks another owner to confirm that `epoch` is the newest it knows. */
   | {
     readonly kind: "renew";
     readonly from: Sender;
@@ -78,7 +78,7 @@
     readonly epoch: number;
     readonly attempt: number;
   }
-  /** The sender knows a newer epoch than the one it was asked about. */
+  /** The sender knows a newer epoch than the requested one. */
   | { readonly kind: "outdated"; readonly from: Sender; readonly epoch: number }
   /** The sender holds no more than its share of `epoch`, in any pool. */
   | { readonly kind: "lowered"; readonly from: Sender; readonly epoch: number }
@@ -88,19 +88,19 @@
     readonly epoch: number;
   };
 
-/** What an escrow core wants done or known. */
+/** Output of an escrow core: a message to send, or a notification. */
 export type EscrowEffect =
   | {
     readonly kind: "send";
     readonly to: VmId;
     readonly message: EscrowMessage;
   }
-  /** Slots that this VM may use of a pool changed. */
+  /** The number of slots that this VM may use of a pool changed. */
   | { readonly kind: "changed"; readonly pool: PoolId; readonly held: number }
-  /** A peer knows a newer plan: read it. */
+  /** A peer knows a newer plan, which should be read from the table. */
   | { readonly kind: "outdated"; readonly vm: VmId; readonly epoch: number };
 
-/** A slot in use, to be given back. `loan` is absent for a slot of this VM's own. */
+/** A slot in use, to be released. `loan` is undefined for a slot that this VM owns. */
 export interface SlotUse {
   readonly pool: PoolId;
   readonly loan: LoanId | undefined;
--- a/packages/coordination/src/escrow/mod.ts
+++ b/packages/coordination/src/escrow/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Slot escrow: VMs own slots of targets and regions and lend them to each
- * other, so that the slots held never add up to more than there are.
+ * Slot escrow: VMs own slots of targets and regions and lend them to each other,
+ * so that the sum of the slots held never exceeds the total.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   SlotUse,
 } from "./messages.ts";
 export { nextPlan } from "./plan.ts";
-export { DEFAULT_RULES, type EscrowRules, silentOwners } from "./rules.ts";
+export { DEFAULT_RULES, type EscrowRules, unconfirmedOwners } from "./rules.ts";
 export { sharesOf } from "./shares.ts";
 export {
   type Context as EscrowContext,
--- a/packages/coordination/src/escrow/ownership.ts
+++ b/packages/coordination/src/escrow/ownership.ts
@@ -1,28 +1,28 @@
 /**
- * Whose slots are whose: plans, their terms, and moves from owner to owner that
- * lower first and raise after.
+ * Ownership of slots: plans, terms, and moves between owners, in which all shares
+ * are lowered before any is raised.
  *
  * @module
  */
 
 import type { Sender } from "../membership/messages.ts";
 import type { EscrowPlan } from "./messages.ts";
-import { silentOwners } from "./rules.ts";
+import { unconfirmedOwners } from "./rules.ts";
 import { sharesOf } from "./shares.ts";
 import {
   type Context,
   entriesOf,
-  lastAskedAt,
+  lastSentAt,
   NEVER,
   newPool,
-  noteAsk,
   type PoolState,
+  recordRequest,
 } from "./state.ts";
 
-/** A term is renewed this often while it runs, so that a few lost messages cost nothing. */
+/** Renewal requests per term, so that a few lost messages do not end it. */
 const RENEWALS_PER_TERM = 6;
 
-/** Takes in a plan with a higher epoch than the one this VM has. */
+/** Adopts a plan if its epoch is higher than that of the current one. */
 export function adoptPlan(ctx: Context, plan: EscrowPlan): void {
   const { state, self } = ctx;
   if (plan.epoch <= (state.plan?.epoch ?? 0)) {
@@ -30,9 +30,9 @@
   }
   state.plan = plan;
   state.confirmed = [];
-  state.heardLowered = [];
+  state.loweredAckedBy = [];
   state.loweredSentAt = NEVER;
-  // Answers about the epoch before must not count for this one.
+  // Responses about the previous epoch must not count for this one.
   state.renewals.sentAt = {};
   state.oneSilentSince = -1;
   state.raised = false;
@@ -48,7 +48,7 @@
   settle(ctx);
 }
 
-/** Lowers what can be lowered, and raises when every earlier owner has lowered. */
+/** Lowers shares where possible, and raises them once every earlier owner has lowered. */
 export function settle(ctx: Context): void {
   const { state, rules, self } = ctx;
   if (state.plan === undefined || state.raised) {
@@ -61,7 +61,7 @@
   if (isLowered(ctx) && !state.confirmed.includes(self.instance)) {
     state.confirmed.push(self.instance);
   }
-  watchSilence(ctx);
+  trackSingleUnconfirmed(ctx);
   if (isLowered(ctx) && rules.mayRaise(ctx)) {
     state.raised = true;
     for (const pool of Object.values(state.pools) as PoolState[]) {
@@ -75,33 +75,33 @@
     .every(({ share, target }) => share <= target);
 }
 
-function watchSilence(ctx: Context): void {
+function trackSingleUnconfirmed(ctx: Context): void {
   const { state, now } = ctx;
-  if (silentOwners(ctx).length !== 1) {
+  if (unconfirmedOwners(ctx).length !== 1) {
     state.oneSilentSince = -1;
   } else if (state.oneSilentSince < 0) {
     state.oneSilentSince = now;
   }
 }
 
-/** Renews this VM's term with one fellow owner at a time, in turn. */
+/** Renews this VM's term with one other owner at a time, in rotation. */
 export function renewTerm(ctx: Context): void {
   const { state, self, times, now } = ctx;
-  const fellows = fellowOwners(ctx);
-  if (fellows === undefined || fellows.length === 0) {
+  const others = otherOwners(ctx);
+  if (others === undefined || others.length === 0) {
     return;
   }
-  const everyMs = state.validUntil > now
+  const intervalMs = state.validUntil > now
     ? times.termMs / RENEWALS_PER_TERM
     : times.retryMs;
-  if (now < lastAskedAt(state.renewals) + everyMs) {
+  if (now < lastSentAt(state.renewals) + intervalMs) {
     return;
   }
-  const attempt = noteAsk(state.renewals, now);
-  const fellow = fellows[attempt % fellows.length]!;
+  const attempt = recordRequest(state.renewals, now);
+  const other = others[attempt % others.length]!;
   ctx.effects.push({
     kind: "send",
-    to: fellow.vm,
+    to: other.vm,
     message: {
       kind: "renew",
       from: self,
@@ -111,8 +111,8 @@
   });
 }
 
-/** The other owners, or undefined where this VM owns nothing by the plan. */
-function fellowOwners({ state, self }: Context): readonly Sender[] | undefined {
+/** The other owners, or undefined if the plan does not name this instance as an owner. */
+function otherOwners({ state, self }: Context): readonly Sender[] | undefined {
   const owners = state.plan?.owners ?? [];
   if (!owners.some(({ instance }) => instance === self.instance)) {
     return undefined;
@@ -120,53 +120,53 @@
   return owners.filter(({ instance }) => instance !== self.instance);
 }
 
-/** Answers an owner that asks whether its epoch is still the newest. */
-export function answerRenewal(
+/** Handles an owner's request to confirm that its epoch is still the newest. */
+export function handleRenew(
   ctx: Context,
-  asked: { from: Sender; epoch: number; attempt: number },
+  request: { from: Sender; epoch: number; attempt: number },
 ): void {
   const { state, self, rules } = ctx;
-  if (rules.mayVouch(ctx, asked.epoch)) {
-    send(ctx, asked.from, {
+  if (rules.mayVouch(ctx, request.epoch)) {
+    send(ctx, request.from, {
       kind: "renewed",
       from: self,
-      epoch: asked.epoch,
-      attempt: asked.attempt,
+      epoch: request.epoch,
+      attempt: request.attempt,
     });
     return;
   }
   const epoch = state.plan?.epoch ?? 0;
-  if (epoch > asked.epoch) {
-    send(ctx, asked.from, { kind: "outdated", from: self, epoch });
-  } else if (epoch < asked.epoch) {
+  if (epoch > request.epoch) {
+    send(ctx, request.from, { kind: "outdated", from: self, epoch });
+  } else if (epoch < request.epoch) {
     ctx.effects.push({
       kind: "outdated",
-      vm: asked.from.vm,
-      epoch: asked.epoch,
+      vm: request.from.vm,
+      epoch: request.epoch,
     });
   }
 }
 
-/** Takes in that a fellow owner vouched for the epoch. */
-export function takeRenewal(
+/** Handles another owner's confirmation of the epoch. */
+export function handleRenewed(
   ctx: Context,
-  answer: { epoch: number; attempt: number },
+  response: { epoch: number; attempt: number },
 ): void {
   const { state } = ctx;
-  const askedAt = state.renewals.sentAt[answer.attempt];
-  if (answer.epoch === state.plan?.epoch && askedAt !== undefined) {
+  const askedAt = state.renewals.sentAt[response.attempt];
+  if (response.epoch === state.plan?.epoch && askedAt !== undefined) {
     extendTerm(ctx, askedAt);
   }
 }
 
-/** Lengthens the term, counted from when the question was asked. */
+/** Extends the term, counted from when the request was sent. */
 export function extendTerm(ctx: Context, askedAt: number): void {
   const { state, rules, times, now } = ctx;
   const until = rules.holdsUntil(askedAt, times.termMs, now);
   state.validUntil = Math.max(state.validUntil, until);
 }
 
-/** Tells everyone concerned that this VM has lowered, until each has heard it. */
+/** Notifies the owners that this VM has lowered its shares, until each has acknowledged it. */
 export function announceLowered(ctx: Context): void {
   const { state, self, times, now } = ctx;
   const { plan } = state;
@@ -182,16 +182,16 @@
     return;
   }
   for (const owner of plan.owners) {
-    const told = owner.instance === self.instance ||
-      state.heardLowered.includes(owner.instance);
-    if (!told) {
+    const hasAcknowledged = owner.instance === self.instance ||
+      state.loweredAckedBy.includes(owner.instance);
+    if (!hasAcknowledged) {
       send(ctx, owner, { kind: "lowered", from: self, epoch: plan.epoch });
     }
   }
 }
 
-/** Takes in that another owner has lowered. */
-export function takeLowered(
+/** Handles the notification that another owner has lowered its shares. */
+export function handleLowered(
   ctx: Context,
   { from, epoch }: { from: Sender; epoch: number },
 ): void {
@@ -205,7 +205,7 @@
   send(ctx, from, { kind: "lowered-seen", from: self, epoch });
 }
 
-/** Puts a message on its way. */
+/** Adds a message to the effects. */
 export function send(
   ctx: Context,
   to: Sender,
--- a/packages/coordination/src/escrow/plan.ts
+++ b/packages/coordination/src/escrow/plan.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the plan that follows another, for whoever holds the planner's lease.
+ * Creates the next plan, on the VM that holds the planner's lease.
  *
  * @module
  */
@@ -7,18 +7,18 @@
 import type { Sender } from "../membership/messages.ts";
 import type { EscrowPlan, Pool } from "./messages.ts";
 
-/** What the next plan says. */
+/** Input of the next plan. */
 export interface NextPlan {
   readonly owners: readonly Sender[];
   readonly pools: readonly Pool[];
   /**
-   * Whether the planner's own core has settled the previous plan, by that very
-   * epoch: then only its owners can still hold slots.
+   * Whether the planner's own core has settled the previous plan, in the same
+   * epoch. Then only that plan's owners can still hold slots.
    */
   readonly settled: boolean;
 }
 
-/** The plan after `previous`. Whoever might still hold slots is named in it, or its slots would be handed out twice. */
+/** The plan after `previous`. It names every instance that might still hold slots; otherwise those slots would be assigned twice. */
 export function nextPlan(
   previous: EscrowPlan | undefined,
   { owners, pools, settled }: NextPlan,
--- a/packages/coordination/src/escrow/rules.ts
+++ b/packages/coordination/src/escrow/rules.ts
@@ -1,6 +1,7 @@
 /**
- * The rules that keep the sum of slots held within the total, each a function
- * of its own, so that a model can break one at a time and see it matter.
+ * The rules that keep the sum of the slots held within the total. Each is a
+ * separate function, so that a model can break one at a time and show that it
+ * is needed.
  *
  * @module
  */
@@ -9,13 +10,13 @@
 import type { PoolId } from "./messages.ts";
 import type { Context, EscrowState } from "./state.ts";
 
-/** Two clocks may run apart by this share of a duration; VM clocks are slewed by at most 0.0005. */
+/** Maximum drift between two clocks, as a share of a duration; VM clocks are slewed by at most 0.0005. */
 export const CLOCK_DRIFT = 0.01;
 
-/** Covers a borrower that was paused between reading its clock and sending a request. */
+/** Covers a borrower that is paused between reading its clock and sending a request. */
 export const TAKE_BACK_MARGIN_MS = 200;
 
-/** See {@link DEFAULT_RULES} for what each guards against. */
+/** {@link DEFAULT_RULES} documents the fault that each rule prevents. */
 export interface EscrowRules {
   lentOf(state: EscrowState, pool: PoolId): number;
   holdsUntil(askedAt: number, durationMs: number, now: number): number;
@@ -24,9 +25,9 @@
   mayRaise(ctx: Context): boolean;
 }
 
-/** The rules that production runs. */
+/** The rules used in production. */
 export const DEFAULT_RULES: EscrowRules = {
-  /** Slots that this VM has lent of a pool. Were a loan not counted, its slots would be used on both sides. */
+  /** Slots of a pool that this VM has lent. If a loan were not counted, its slots would be used on both sides. */
   lentOf(state, pool) {
     let lent = 0;
     for (const loan of Object.values(state.lent)) {
@@ -36,23 +37,24 @@
   },
 
   /**
-   * A holder counts from when it asked, which is before the other side counted,
-   * and leaves out what the two clocks may differ by. Counted from the answer's
-   * arrival, a late answer would let it use slots that were taken back.
+   * A holder counts from when it sent its request, which is before the other side
+   * starts counting, and subtracts the possible clock drift. If it counted from
+   * the response's arrival, a late response would let it use slots that were
+   * already reclaimed.
    */
   holdsUntil(askedAt, durationMs) {
     return askedAt + durationMs * (1 - 2 * CLOCK_DRIFT);
   },
 
-  /** The lender waits out the whole duration and the margin on its own clock. */
+  /** The lender waits for the full duration and the margin on its own clock. */
   takesBackAt(durationMs, now) {
     return now + durationMs + TAKE_BACK_MARGIN_MS;
   },
 
   /**
-   * Only an owner under this very epoch vouches for it. An owner that has moved
-   * on and still vouched would keep a silent one alive while its slots are
-   * handed to others.
+   * Only an owner in this same epoch confirms it. If an owner that has adopted a
+   * newer epoch still confirmed, it would extend the term of an unresponsive
+   * owner whose slots are being given to others.
    */
   mayVouch({ state, self }, epoch) {
     return state.plan?.epoch === epoch &&
@@ -60,14 +62,14 @@
   },
 
   /**
-   * Slots are raised when every earlier owner has confirmed that it holds no
-   * more than its new share. One silent owner may be waited out: nobody who
-   * has confirmed vouches for it any more, so its own slots end with its term.
-   * Two silent ones might be vouching for each other, cut off from the rest.
+   * Shares are raised once every earlier owner has confirmed that it holds no
+   * more than its new share. If a single owner has not, its term is waited out:
+   * no owner that has confirmed renews that term, so its slots end with it. Two
+   * such owners could be partitioned from the rest and renew each other's terms.
    */
   mayRaise(ctx) {
     const { state, times, now } = ctx;
-    const silent = silentOwners(ctx).length;
+    const silent = unconfirmedOwners(ctx).length;
     if (silent === 0) {
       return true;
     }
@@ -76,8 +78,8 @@
   },
 };
 
-/** Earlier owners that have not confirmed this epoch and are not known to be gone. */
-export function silentOwners({ state, self }: Context): readonly Sender[] {
+/** Earlier owners that have not confirmed this epoch and are not known to have ended. */
+export function unconfirmedOwners({ state, self }: Context): readonly Sender[] {
   return (state.plan?.earlierOwners ?? []).filter(({ instance }) =>
     instance !== self.instance &&
     !state.confirmed.includes(instance) &&
--- a/packages/coordination/src/escrow/shares.ts
+++ b/packages/coordination/src/escrow/shares.ts
@@ -1,6 +1,6 @@
 /**
- * How many slots of a pool each owner has: rendezvous hash, slot by slot, so
- * that an owner that comes or goes moves only its own slots.
+ * Divides the slots of a pool among its owners by rendezvous hashing of each
+ * slot, so that an owner that is added or removed moves only its own slots.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import { hash32 } from "../hash.ts";
 import type { Pool } from "./messages.ts";
 
-/** Slots of `pool` by owner; they add up to the total when there is any owner. */
+/** Number of slots of `pool` by owner. They add up to the total if there is any owner. */
 export function sharesOf(
   pool: Pool,
   owners: readonly Sender[],
--- a/packages/coordination/src/escrow/state.ts
+++ b/packages/coordination/src/escrow/state.ts
@@ -1,6 +1,6 @@
 /**
- * What an escrow core remembers: plain data, so that a model checker can copy
- * and compare it. A restart forgets all of it.
+ * The state of an escrow core: plain data, so that a model checker can copy and
+ * compare it. A restart loses all of it.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import type { EscrowEffect, EscrowPlan, LoanId, PoolId } from "./messages.ts";
 import type { EscrowRules } from "./rules.ts";
 
-/** One pool, as this VM sees it. */
+/** State of one pool on this VM. */
 export interface PoolState {
-  /** What the plan gives this VM. */
+  /** Slots that the plan assigns to this VM. */
   target: number;
-  /** What it holds as an owner, lent slots included. Above the target only while it is being lowered. */
+  /** Slots held as an owner, including those lent. Above the target only while it is being lowered. */
   share: number;
-  /** Own slots in use. */
+  /** Owned slots in use. */
   used: number;
-  /** How many slots this VM would like to hold. */
+  /** Number of slots that this VM wants to hold. */
   wanted: number;
-  /** Refusals in a row, since the last grant or wish. */
+  /** Consecutive refusals since the last grant or change of `wanted`. */
   refusals: number;
-  /** No lender is asked before. */
-  askAgainAt: number;
+  /** Earliest time of the next loan request. */
+  nextRequestAt: number;
 }
 
-/** A pool that no plan has given this VM a share of. */
+/** State of a pool of which this VM has no share yet. */
 export function newPool(): PoolState {
   return {
     target: 0,
@@ -34,7 +34,7 @@
     used: 0,
     wanted: 0,
     refusals: 0,
-    askAgainAt: NEVER,
+    nextRequestAt: NEVER,
   };
 }
 
@@ -47,81 +47,82 @@
 }
 
 /**
- * The latest attempts of one question, and when each was sent. An answer counts
- * from when its own question was asked; were only the latest remembered, no
- * answer would count once the round trip exceeds the time between attempts.
+ * The latest attempts of one request and their send times. A response counts
+ * from the time at which its own attempt was sent. If only the latest attempt
+ * were stored, no response would match once the round trip exceeds the retry
+ * interval.
  */
-export interface AskLog {
+export interface RequestLog {
   /** Number of the latest attempt. */
   attempt: number;
-  /** Send times of the latest attempts, by number. */
+  /** Send times of the latest attempts, by attempt number. */
   sentAt: Record<number, number>;
 }
 
-/** Attempts remembered: with one each 300 ms, answers that take up to 2.4 s. */
-const REMEMBERED_ATTEMPTS = 8;
+/** Attempts stored: with one every 300 ms, responses may take up to 2.4 s. */
+const MAX_STORED_ATTEMPTS = 8;
 
-/** The log of a question that was never asked. */
-export function newAskLog(): AskLog {
+/** The log of a request that was never sent. */
+export function newRequestLog(): RequestLog {
   return { attempt: 0, sentAt: {} };
 }
 
-/** Notes that the question is asked now, and returns the number of the attempt. */
-export function noteAsk(log: AskLog, now: number): number {
+/** Records an attempt that is sent now, and returns its number. */
+export function recordRequest(log: RequestLog, now: number): number {
   log.attempt += 1;
   log.sentAt[log.attempt] = now;
-  delete log.sentAt[log.attempt - REMEMBERED_ATTEMPTS];
+  delete log.sentAt[log.attempt - MAX_STORED_ATTEMPTS];
   return log.attempt;
 }
 
-/** When the question was last asked. */
-export function lastAskedAt(log: AskLog): number {
+/** When the latest attempt was sent. */
+export function lastSentAt(log: RequestLog): number {
   return log.sentAt[log.attempt] ?? NEVER;
 }
 
-/** A loan that this VM asked for or has. */
+/** A loan that this VM has requested or holds. */
 export interface Borrowed {
   readonly pool: PoolId;
   readonly lender: Sender;
-  readonly asked: number;
+  readonly requestedSlots: number;
   /** 0 until the first grant. */
   slots: number;
-  readonly asks: AskLog;
-  /** Not used from here on; 0 until the first grant. */
+  readonly requests: RequestLog;
+  /** End of its use; 0 until the first grant. */
   stopsAt: number;
   used: number;
 }
 
-/** Everything that one core remembers. All times are of its own clock, in ms. */
+/** The complete state of one core. All times are in ms on its own clock. */
 export interface EscrowState {
   plan: EscrowPlan | undefined;
   pools: Record<PoolId, PoolState>;
   lent: Record<LoanId, Lent>;
   borrowed: Record<LoanId, Borrowed>;
-  /** Loans given back, with the time until which a late request for them is refused. */
+  /** Returned loans, with the time until which a late request for them is refused. */
   closed: Record<LoanId, number>;
-  /** Slots that each owner could last spare, by instance and pool. */
+  /** Slots that each owner last reported it could lend, by instance and pool. */
   spare: Record<string, number>;
-  /** Own slots may be used until then. */
+  /** End of this VM's term: owned slots may be used until then. */
   validUntil: number;
-  renewals: AskLog;
-  /** Instances that hold no more than their share of this epoch. */
+  renewals: RequestLog;
+  /** Instances that have confirmed holding no more than their share of this epoch. */
   confirmed: InstanceId[];
-  /** Instances that the platform says are gone. */
+  /** Instances that have ended, according to the platform. */
   gone: InstanceId[];
-  /** Instances that have heard that this VM holds no more than its share. */
-  heardLowered: InstanceId[];
+  /** Instances that have acknowledged that this VM holds no more than its share. */
+  loweredAckedBy: InstanceId[];
   loweredSentAt: number;
-  /** Since when all other earlier owners but one have confirmed; -1 while that is not so. */
+  /** Since when exactly one other earlier owner has not confirmed; -1 if that is not the case. */
   oneSilentSince: number;
   raised: boolean;
   loans: number;
 }
 
-/** Before any time: finite, so that the state is plain JSON. */
+/** Earlier than any time, but finite, so that the state is plain JSON. */
 export const NEVER = -1e15;
 
-/** State of a core that has just started. */
+/** State of a newly started core. */
 export function initialState(): EscrowState {
   return {
     plan: undefined,
@@ -131,10 +132,10 @@
     closed: {},
     spare: {},
     validUntil: NEVER,
-    renewals: newAskLog(),
+    renewals: newRequestLog(),
     confirmed: [],
     gone: [],
-    heardLowered: [],
+    loweredAckedBy: [],
     loweredSentAt: NEVER,
     oneSilentSince: -1,
     raised: false,
@@ -142,17 +143,17 @@
   };
 }
 
-/** The durations of one deployment's escrow, in ms. */
+/** Durations of escrow in one deployment. */
 export interface EscrowTimes {
-  /** How long own slots stay usable after a fellow owner vouched for the plan. Longer than any request's deadline. */
+  /** How long owned slots stay usable after another owner has confirmed the plan. Longer than any request's deadline. */
   readonly termMs: number;
-  /** Length of a loan. */
+  /** Duration of a loan. */
   readonly loanMs: number;
-  /** An unanswered message is sent again after this. */
+  /** Interval after which a message without a response is sent again. */
   readonly retryMs: number;
 }
 
-/** What the steps of one transition share. */
+/** Inputs and collected effects of one transition. */
 export interface Context {
   readonly self: Sender;
   readonly state: EscrowState;
