--- a/packages/coordination/src/blocks/block_table.ts
+++ b/packages/coordination/src/blocks/block_table.ts
@@ -1,35 +1,35 @@
 /**
- * Which site serves a block of clients: a table of IPv4 prefixes, held in typed
- * arrays so that 410,000 blocks cost a few megabytes and no object each.
+ * Maps client blocks (IPv4 prefixes) to the sites that serve them. The table uses
+ * typed arrays, so that 410,000 blocks take a few megabytes and no object each.
  *
- * A table is never changed in place. A delta makes the next table, and a
- * look-up sees one or the other.
+ * A table is immutable. A delta creates the next table, and a look-up sees either
+ * the old or the new one.
  *
  * @module
  */
 
 import { RangeIndex } from "./range_index.ts";
 
-/** Site of an address that no block holds; no site may have this number. */
+/** Result for an address in no block; no site may have this number. */
 export const NO_SITE = 0xffff;
 
-/** A block of clients: an IPv4 prefix and the number of the site that serves it. */
+/** A client block: an IPv4 prefix and the number of the site that serves it. */
 export interface Block {
   /** First address, as an unsigned 32-bit number. */
   readonly start: number;
-  /** Bits of the prefix, 0 to 32. */
+  /** Prefix length in bits, 0 to 32. */
   readonly length: number;
   readonly site: number;
 }
 
-/** The blocks in three columns, sorted by start, then by length. */
+/** The blocks as three columns, sorted by start, then by length. */
 export interface BlockColumns {
   readonly starts: Uint32Array<ArrayBuffer>;
   readonly sites: Uint16Array<ArrayBuffer>;
   readonly lengths: Uint8Array<ArrayBuffer>;
 }
 
-/** Site by number, where another serves in its place. */
+/** Replacement sites, by the number of the site that they replace. */
 export type Redirects = ReadonlyMap<number, number>;
 
 /** One revision of the table. */
@@ -37,8 +37,8 @@
   readonly revision: number;
   readonly columns: BlockColumns;
   /**
-   * All blocks of a site served by another at once: moving a site's clients
-   * costs four bytes instead of seven for each of its blocks.
+   * Redirects all blocks of a site to another. Moving a site's clients this way
+   * takes four bytes instead of seven for each of its blocks.
    */
   readonly redirects: Redirects;
   readonly #index: RangeIndex;
@@ -51,13 +51,13 @@
     this.columns = columns;
     this.revision = revision;
     this.redirects = redirects;
-    // A change of redirects alone leaves the blocks, and so their index.
+    // If only redirects change, the blocks and so their index stay the same.
     this.#index = before?.columns === columns
       ? before.#index
       : new RangeIndex(columns);
   }
 
-  /** A table of the given blocks, in any order; of two for one prefix the later counts. */
+  /** Creates a table of blocks in any order; of two with the same prefix the later one is used. */
   static of(blocks: readonly Block[], revision: number): BlockTable {
     const byKey = new Map(blocks.map((block) => [keyOf(block), block]));
     const sorted = [...byKey.values()].sort((a, b) => keyOf(a) - keyOf(b));
@@ -71,14 +71,14 @@
     return this.columns.starts.length;
   }
 
-  /** Bytes of the table and of its index. */
+  /** Size of the table and its index in bytes. */
   get bytes(): number {
     const { starts, sites, lengths } = this.columns;
     return starts.byteLength + sites.byteLength + lengths.byteLength +
       this.#index.bytes;
   }
 
-  /** The site for an address: the longest prefix that holds it decides. */
+  /** The site for an address, by the longest prefix that contains it. */
   siteOf(address: number): number {
     const site = this.#index.siteOf(address);
     return this.redirects.get(site) ?? site;
@@ -90,7 +90,7 @@
   }
 }
 
-/** Order of blocks: by start, the wider of two first. Exact in a double. */
+/** Sort key of a block: by start, then the wider prefix first. Exact in a double. */
 export function keyOf(block: Pick<Block, "start" | "length">): number {
   return block.start * 64 + block.length;
 }
@@ -104,7 +104,7 @@
   };
 }
 
-/** Sets one line of the columns. */
+/** Sets one row of the columns. */
 export function setBlock(
   columns: BlockColumns,
   at: number,
--- a/packages/coordination/src/blocks/blocks_test.ts
+++ b/packages/coordination/src/blocks/blocks_test.ts
@@ -6,7 +6,7 @@
 
 const SEED = 77;
 
-/** Blocks that often nest and touch: few distinct addresses, all lengths. */
+/** Blocks that are often nested or adjacent: few distinct addresses, prefix lengths up to 8. */
 const block: fc.Arbitrary<Block> = fc.record({
   start: fc.nat(15),
   length: fc.nat(8),
@@ -24,17 +24,17 @@
 });
 
 function expectedSite(all: readonly Block[], address: number): number {
-  const holding = all
+  const containing = all
     .filter(({ start, length }) =>
       address >= start && address < start + 2 ** (32 - length)
     )
     .sort((a, b) => b.length - a.length);
-  return holding[0]?.site ?? NO_SITE;
+  return containing[0]?.site ?? NO_SITE;
 }
 
 const ADDRESSES = Array.from({ length: 256 }, (_, n) => n * 0x01000000 + 5);
 
-test("the longest prefix that holds an address decides", () => {
+test("an address maps to the site of the longest prefix that contains it", () => {
   fc.assert(
     fc.property(blocks, (all) => {
       const table = BlockTable.of(all, 1);
@@ -46,14 +46,14 @@
   );
 });
 
-test("a delta makes what building the next table anew makes", () => {
+test("applying a delta gives the same table as building it from scratch", () => {
   fc.assert(
     fc.property(
       blocks,
       blocks,
       fc.array(fc.nat(39)),
-      (before, upserts, gone) => {
-        const removals = gone.flatMap((n) => before[n] ?? []);
+      (before, upserts, removedAt) => {
+        const removals = removedAt.flatMap((n) => before[n] ?? []);
         const table = BlockTable.of(before, 1);
         const delta = {
           from: 1,
@@ -64,8 +64,8 @@
         };
         const next = applyDelta(table, delta);
         const kept = before.filter((one) => !removals.includes(one));
-        const anew = BlockTable.of([...kept, ...upserts], 2);
-        expect(next.columns).toEqual(anew.columns);
+        const rebuilt = BlockTable.of([...kept, ...upserts], 2);
+        expect(next.columns).toEqual(rebuilt.columns);
         expect(table.revision).toBe(1);
       },
     ),
@@ -73,7 +73,7 @@
   );
 });
 
-test("snapshots and deltas come back from their bytes as they were", async () => {
+test("snapshots and deltas are unchanged after encoding and decoding", async () => {
   const codec = await BlockCodec.load();
   fc.assert(
     fc.property(blocks, blocks, (all, upserts) => {
@@ -98,23 +98,23 @@
   );
 });
 
-// A snapshot is cut off or damaged on its way from the object store. Taken in
-// as it is, it would send whole blocks of clients to a wrong site.
-test("damaged or cut bytes are refused", async () => {
+// A snapshot is truncated or corrupted in transfer from the object store. If it
+// were accepted, entire client blocks would be sent to a wrong site.
+test("truncated or corrupted bytes are rejected", async () => {
   const codec = await BlockCodec.load();
   const table = BlockTable.of([{ start: 0, length: 8, site: 1 }], 1);
   const bytes = codec.encodeSnapshot(table);
   for (let at = 0; at < bytes.length; at++) {
-    const damaged = bytes.slice();
-    damaged[at]! ^= 1;
-    expect(() => codec.decodeSnapshot(damaged)).toThrow(BlocksError);
+    const corrupted = bytes.slice();
+    corrupted[at]! ^= 1;
+    expect(() => codec.decodeSnapshot(corrupted)).toThrow(BlocksError);
     expect(() => codec.decodeSnapshot(bytes.slice(0, at))).toThrow(BlocksError);
   }
 });
 
-// A delta overtakes the one before it. Applied to the wrong revision it would
-// leave blocks at sites that nobody chose.
-test("a delta of another revision is refused", () => {
+// A delta arrives before its predecessor. Applied to the wrong revision, it would
+// leave blocks at wrong sites.
+test("a delta for another revision is rejected", () => {
   const table = BlockTable.of([], 1);
   const delta = {
     from: 2,
--- a/packages/coordination/src/blocks/codec.ts
+++ b/packages/coordination/src/blocks/codec.ts
@@ -1,6 +1,6 @@
 /**
- * Snapshots and deltas as bytes. Numbers are little-endian, columns follow each
- * other whole, and a digest tells whether what arrived is what was sent.
+ * Binary encoding of snapshots and deltas. Numbers are little-endian, columns are
+ * stored one after the other, and a digest detects corruption.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 
 const SNAPSHOT_MAGIC = 0x31425450;
 const DELTA_MAGIC = 0x31445450;
-/** Magic, two revisions, three counts, digest. */
+/** Magic number, two revisions, three counts, digest. */
 const HEADER_BYTES = 32;
 /** Start, site, length. */
 const BLOCK_BYTES = 7;
@@ -35,7 +35,7 @@
     this.#hash = hash;
   }
 
-  /** Loads the hash, which is compiled once. */
+  /** Loads the hash function, which is compiled once. */
   static async load(): Promise<BlockCodec> {
     return new BlockCodec(await xxhash());
   }
@@ -63,7 +63,7 @@
     return this.#seal(bytes);
   }
 
-  /** Throws {@link BlocksError} on bytes that are not a whole snapshot. */
+  /** Throws {@link BlocksError} if the bytes are not a complete snapshot. */
   decodeSnapshot(bytes: Uint8Array<ArrayBuffer>): BlockTable {
     const header = this.#open(bytes, SNAPSHOT_MAGIC);
     const columns = newColumns(header.blocks);
@@ -109,7 +109,7 @@
     return this.#seal(bytes);
   }
 
-  /** Throws {@link BlocksError} on bytes that are not a whole delta. */
+  /** Throws {@link BlocksError} if the bytes are not a complete delta. */
   decodeDelta(bytes: Uint8Array<ArrayBuffer>): BlockDelta {
     const header = this.#open(bytes, DELTA_MAGIC);
     const view = new DataView(bytes.buffer, bytes.byteOffset);
@@ -151,7 +151,9 @@
 
   #open(bytes: Uint8Array<ArrayBuffer>, magic: number): Header {
     if (bytes.length < HEADER_BYTES) {
-      throw new BlocksError("Cannot decode blocks: the header is cut short");
+      throw new BlocksError(
+        "Cannot decode blocks: shorter than the header of 32 bytes",
+      );
     }
     const view = new DataView(bytes.buffer, bytes.byteOffset);
     const header: Header = {
@@ -163,17 +165,19 @@
       redirects: view.getUint32(20, true),
     };
     if (header.magic !== magic) {
-      throw new BlocksError("Cannot decode blocks: not the expected kind");
+      throw new BlocksError("Cannot decode blocks: wrong magic number");
     }
-    const isWhole = sizeOf(header) === bytes.length &&
+    const isIntact = sizeOf(header) === bytes.length &&
       view.getBigUint64(24, true) === this.#digest(bytes);
-    if (!isWhole) {
-      throw new BlocksError("Cannot decode blocks: the digest does not match");
+    if (!isIntact) {
+      throw new BlocksError(
+        "Cannot decode blocks: the size or the digest does not match the header",
+      );
     }
     return header;
   }
 
-  /** Over the counts and all that follows; the digest's own place is left out. */
+  /** Hashes the header and the content, but not the digest field itself. */
   #digest(bytes: Uint8Array): bigint {
     const head = this.#hash.h64Raw(bytes.subarray(0, 24));
     return this.#hash.h64Raw(bytes.subarray(HEADER_BYTES), head);
--- a/packages/coordination/src/blocks/delta.ts
+++ b/packages/coordination/src/blocks/delta.ts
@@ -1,5 +1,5 @@
 /**
- * A step from one revision of the table to the next.
+ * Changes between two consecutive revisions of the block table.
  *
  * @module
  */
@@ -12,33 +12,34 @@
   setBlock,
 } from "./block_table.ts";
 
-/** A delta does not fit the table, or bytes are not what they should be. */
+/** A delta does not apply to the table, or encoded bytes are invalid. */
 export class BlocksError extends Error {
   override readonly name = "BlocksError";
 }
 
-/** What changes from one revision to the next. */
+/** The changes from one revision to the next. */
 export interface BlockDelta {
   readonly from: number;
   readonly revision: number;
-  /** Blocks that are new or move to another site, in any order. */
+  /** Blocks that are added or moved to another site, in any order. */
   readonly upserts: readonly Block[];
   readonly removals: readonly Pick<Block, "start" | "length">[];
-  /** Sites that another serves for; a site that serves for itself again is removed. */
+  /** Redirects to set; an entry from a site to itself removes its redirect. */
   readonly redirects: readonly { readonly site: number; readonly to: number }[];
 }
 
+/** An insertion, replacement or removal of one block. */
 interface Edit {
   readonly key: number;
   /** Undefined removes the block. */
   readonly block: Block | undefined;
 }
 
-/** The next table. The given one stays as it is, for look-ups under way. */
+/** Creates the next table. The given one is not modified, since look-ups may be using it. */
 export function applyDelta(table: BlockTable, delta: BlockDelta): BlockTable {
   if (delta.from !== table.revision) {
     throw new BlocksError(
-      `Cannot apply a delta of revision ${delta.from} to revision ${table.revision}`,
+      `Cannot apply a delta from revision ${delta.from} to a table of revision ${table.revision}`,
     );
   }
   const redirects = new Map(table.redirects);
--- a/packages/coordination/src/blocks/mod.ts
+++ b/packages/coordination/src/blocks/mod.ts
@@ -1,6 +1,6 @@
 /**
  * The table of client blocks: look-up by longest prefix, deltas, and snapshots
- * for whoever boots.
+ * for VMs that start.
  *
  * @module
  */
--- a/packages/coordination/src/blocks/range_index.ts
+++ b/packages/coordination/src/blocks/range_index.ts
@@ -1,19 +1,20 @@
 /**
- * The look-up: nested prefixes laid out flat as ranges of addresses, found by
- * binary search within the 65,536 addresses that share their upper half.
+ * The look-up index: nested prefixes flattened to ranges of addresses. A look-up
+ * is a binary search among the ranges with the same upper 16 bits.
  *
  * @module
  */
 
 import { type BlockColumns, NO_SITE } from "./block_table.ts";
 
+/** Number of upper halves of an address, and of addresses that share one. */
 const HALVES = 65_536;
 
-/** Ranges over all addresses, each with its site. */
+/** Ranges that cover all addresses, each with its site. */
 export class RangeIndex {
   readonly #starts: Uint32Array;
   readonly #sites: Uint16Array;
-  /** Number of ranges that start below each upper half. */
+  /** Number of ranges that start before the first address of each upper half. */
   readonly #below = new Uint32Array(HALVES + 1);
 
   constructor(columns: BlockColumns) {
@@ -53,7 +54,7 @@
   }
 }
 
-/** Addresses of a prefix by its length. */
+/** Number of addresses of a prefix, by its length. */
 const SPAN = Float64Array.from(
   { length: 33 },
   (_, length) => 2 ** (32 - length),
@@ -65,12 +66,12 @@
 }
 
 /**
- * Cuts nested prefixes into ranges that follow each other. Runs over every block
- * at each change of the table while callers wait, so it makes no objects.
+ * Flattens nested prefixes to consecutive ranges. It processes every block at each
+ * change of the table while callers wait, so it allocates no objects per block.
  */
 function flatten({ starts, sites, lengths }: BlockColumns): Ranges {
   const writer = new RangeWriter(2 * starts.length + 1);
-  // The prefixes that hold the current address, widest first: one a length at most.
+  // The prefixes that contain the current address, widest first: at most one per length.
   const openEnds = new Float64Array(SPAN.length);
   const openSites = new Uint16Array(SPAN.length);
   let open = 0;
@@ -94,7 +95,7 @@
   return writer.finish();
 }
 
-/** Collects ranges; one that ends where it starts, or repeats the site before, leaves no trace. */
+/** Collects ranges, leaving out empty ones and merging those with the same site as the range before. */
 class RangeWriter {
   readonly #starts: Uint32Array;
   readonly #sites: Uint16Array;
--- a/packages/coordination/src/claims/sweep.ts
+++ b/packages/coordination/src/claims/sweep.ts
@@ -27,14 +27,14 @@
 /** Scans all claims repeatedly, one page a second. */
 export class ClaimSweep {
   readonly #table: Table;
-  readonly #isMine: () => boolean;
+  readonly #isSweeper: () => boolean;
   #after = CLAIM_PREFIX;
   #timer: ReturnType<typeof setTimeout> | undefined;
   #running = false;
 
   constructor(table: Table, options: ClaimSweepOptions) {
     this.#table = table;
-    this.#isMine = options.isMine;
+    this.#isSweeper = options.isMine;
   }
 
   start(): void {
@@ -73,7 +73,7 @@
 
   async #runOnce(): Promise<void> {
     try {
-      if (this.#isMine()) {
+      if (this.#isSweeper()) {
         await this.sweepPage();
       }
     } catch (err) {
--- a/packages/coordination/src/dissemination/change_log.ts
+++ b/packages/coordination/src/dissemination/change_log.ts
@@ -1,25 +1,25 @@
 /**
- * The latest changes of a document, for VMs that missed some.
+ * The latest changes of a document, for VMs that have missed some.
  *
  * @module
  */
 
 import type { DisseminatedChange } from "./messages.ts";
 
-/** Changes kept: at 2,500 a day, those of the last half hour. */
+/** At 2,500 changes a day, these cover about the last half hour. */
 const MAX_CHANGES = 64;
 
-/** Characters kept in all, so that large changes cannot take the memory. */
+/** Limit of the total length, so that large changes cannot use up the memory. */
 const MAX_CHARACTERS = 8 * 1024 * 1024;
 
-/** A chain of changes, each following the one before. */
+/** A chain of consecutive changes. */
 export class ChangeLog {
   #changes: DisseminatedChange[] = [];
 
   /** Adds the newest change. */
   add(change: DisseminatedChange): void {
     if (change.from === 0) {
-      // The whole document: nothing before it is needed.
+      // The full document: no earlier change is needed.
       this.#changes = [];
     }
     this.#changes.push(change);
@@ -28,17 +28,17 @@
     }
   }
 
-  /** Forgets all: the document came from elsewhere. */
+  /** Removes all changes, after the document was loaded from a snapshot. */
   clear(): void {
     this.#changes = [];
   }
 
-  /** The newest change, if any is kept. */
+  /** The newest change, if any. */
   latest(): DisseminatedChange | undefined {
     return this.#changes.at(-1);
   }
 
-  /** What leads from `revision` to the newest, or undefined where the chain is broken. */
+  /** The changes from `revision` to the newest, or undefined if the log no longer contains them. */
   since(revision: number): readonly DisseminatedChange[] | undefined {
     const start = this.#changes.findIndex(({ from }) =>
       from === revision || from === 0
--- a/packages/coordination/src/dissemination/dissemination.ts
+++ b/packages/coordination/src/dissemination/dissemination.ts
@@ -16,34 +16,34 @@
 import { type Ranked, readersOf } from "./ranks.ts";
 
 /**
- * Longer changes are offered first: a VM that has one already, from another
- * source, would be sent it in vain otherwise.
+ * Longer changes are offered first, so that they are not sent to VMs that already
+ * have them from another source.
  */
 const MAX_PUSH_CHARACTERS = 4_096;
 
-/** A push that is not confirmed by then goes to the receiver's children instead: above four round trips of 110 ms. */
-export const UNSEEN_MS = 500;
+/** After this, a push that is not acknowledged goes to the receiver's children instead: above four round trips of 110 ms. */
+export const ACK_TIMEOUT_MS = 500;
 
-/** A pull is repeated, from whoever is ahead then, after this. */
+/** Interval after which a pull is repeated, from any peer with a higher revision. */
 const PULL_RETRY_MS = 1_000;
 
-/** Who this VM is. */
+/** Options of {@link Dissemination}. */
 export interface DisseminationOptions {
   readonly self: Sender & { readonly zone: ZoneId };
 }
 
-/** A push or an offer that was not confirmed yet. */
-interface Unseen {
+/** A push or an offer that is not acknowledged yet. */
+interface Unacknowledged {
   readonly revision: number;
   readonly sentAt: number;
 }
 
-/** Carries the changes of one document to every VM. Call {@link tick} every 100 ms or so. */
+/** Distributes the changes of one document to all VMs. Call {@link tick} about every 100 ms. */
 export class Dissemination {
   readonly #self: Sender & { readonly zone: ZoneId };
   readonly #from: Sender;
   readonly #log = new ChangeLog();
-  readonly #unseen = new Map<VmId, Unseen>();
+  readonly #unacknowledged = new Map<VmId, Unacknowledged>();
   #members: readonly Ranked[] = [];
   #tree: PushTree | undefined;
   #revision = 0;
@@ -54,42 +54,42 @@
     this.#from = { vm: self.vm, instance: self.instance };
   }
 
-  /** The revision that this VM has. */
+  /** This VM's revision of the document. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Whether this VM is one of those that poll the table for their zone. */
+  /** Whether this VM is one of those that read the table for their zone. */
   isReader(): boolean {
     const { vm, zone } = this.#self;
     return readersOf(zone, this.#members).includes(vm);
   }
 
-  /** Sets the members that the tree is built from; call it when membership changes. */
+  /** Sets the members from which the tree is built; call it when membership changes. */
   setMembers(members: readonly Ranked[]): void {
     this.#members = members;
     this.#tree = undefined;
   }
 
-  /** This VM read a change from the table (or made it): it is the origin. */
+  /** Starts the distribution of a change that this VM read from the table or created. */
   originate(
     change: DisseminatedChange,
     now: number,
   ): readonly DisseminationEffect[] {
-    return this.#take(change, { sender: undefined, now });
+    return this.#handleChange(change, { sender: undefined, now });
   }
 
-  /** A snapshot was loaded. */
+  /** Reports that a snapshot was loaded. */
   loaded(revision: number, now: number): readonly DisseminationEffect[] {
     if (revision <= this.#revision) {
       return [];
     }
     this.#revision = revision;
     this.#log.clear();
-    return this.#spread(undefined, now);
+    return this.#propagate(undefined, now);
   }
 
-  /** A heartbeat of a peer named a higher revision: pulls from it. */
+  /** Reports the revision in a peer's heartbeat: pulls from that peer if it is higher. */
   ahead(
     vm: VmId,
     revision: number,
@@ -99,7 +99,7 @@
     return revision > this.#revision && isDue ? this.#pull(vm, now) : [];
   }
 
-  /** Takes in a message of a peer. */
+  /** Handles a message from a peer. */
   receive(
     message: DisseminationMessage,
     now: number,
@@ -108,7 +108,7 @@
     switch (message.kind) {
       case "push":
         return [
-          ...this.#take(message.change, { sender: vm, now }),
+          ...this.#handleChange(message.change, { sender: vm, now }),
           this.#sendSeen(vm),
         ];
       case "offer":
@@ -116,13 +116,13 @@
           ? this.#pull(vm, now)
           : [this.#sendSeen(vm)];
       case "seen":
-        return this.#takeSeen(vm, message.revision);
+        return this.#handleSeen(vm, message.revision);
       case "pull":
-        return this.#answerPull(vm, message.revision);
+        return this.#handlePull(vm, message.revision);
       case "changes":
         return [
           ...message.changes.flatMap((change) =>
-            this.#take(change, { sender: vm, now })
+            this.#handleChange(change, { sender: vm, now })
           ),
           this.#sendSeen(vm),
         ];
@@ -135,14 +135,14 @@
     }
   }
 
-  /** Lets time pass: takes over the children of those that have not confirmed. */
+  /** Advances time: pushes to the children of receivers that have not acknowledged. */
   tick(now: number): readonly DisseminationEffect[] {
     const effects: DisseminationEffect[] = [];
-    for (const [vm, { revision, sentAt }] of [...this.#unseen]) {
-      if (now < sentAt + UNSEEN_MS) {
+    for (const [vm, { revision, sentAt }] of [...this.#unacknowledged]) {
+      if (now < sentAt + ACK_TIMEOUT_MS) {
         continue;
       }
-      this.#unseen.delete(vm);
+      this.#unacknowledged.delete(vm);
       if (revision === this.#revision) {
         const orphans = this.#currentTree().childrenOf(vm);
         effects.push(...this.#pushTo(orphans, now));
@@ -151,7 +151,7 @@
     return effects;
   }
 
-  #take(
+  #handleChange(
     change: DisseminatedChange,
     { sender, now }: { sender: VmId | undefined; now: number },
   ): readonly DisseminationEffect[] {
@@ -166,26 +166,26 @@
     }
     this.#revision = change.revision;
     this.#log.add(change);
-    return [{ kind: "apply", change }, ...this.#spread(sender, now)];
+    return [{ kind: "apply", change }, ...this.#propagate(sender, now)];
   }
 
   /**
-   * Pushes to the children, and upwards where the news did not come from above.
-   * Everyone does so at the first learning, by whatever way it came; so whoever
-   * already has a change has passed it on, and a repeat need not be.
+   * Pushes to the children, and upstream unless the change came from the parent.
+   * Every VM does so when it first receives a change, whatever the sender. So a VM
+   * that already has a change has forwarded it, and ignores duplicates.
    */
-  #spread(
+  #propagate(
     sender: VmId | undefined,
     now: number,
   ): readonly DisseminationEffect[] {
     const tree = this.#currentTree();
     const { vm } = this.#self;
-    const isFromAbove = sender !== undefined &&
+    const isFromParent = sender !== undefined &&
       tree.childrenOf(sender).includes(vm);
-    const above = isFromAbove ? undefined : tree.aboveOf(vm);
+    const upstream = isFromParent ? undefined : tree.upstreamOf(vm);
     const receivers = new Set(tree.childrenOf(vm));
-    if (above !== undefined) {
-      receivers.add(above);
+    if (upstream !== undefined) {
+      receivers.add(upstream);
     }
     if (sender !== undefined) {
       receivers.delete(sender);
@@ -206,28 +206,28 @@
     return receivers
       .filter((vm) => vm !== this.#self.vm)
       .map((vm) => {
-        this.#unseen.set(vm, { revision: this.#revision, sentAt: now });
+        this.#unacknowledged.set(vm, { revision: this.#revision, sentAt: now });
         return { kind: "send", to: vm, message };
       });
   }
 
   #pull(vm: VmId, now: number): readonly DisseminationEffect[] {
     this.#pulledAt = now;
-    const { vm: own, instance } = this.#self;
+    const { vm: self, instance } = this.#self;
     return [{
       kind: "send",
       to: vm,
       message: {
         kind: "pull",
-        from: { vm: own, instance },
+        from: { vm: self, instance },
         revision: this.#revision,
       },
     }];
   }
 
-  #answerPull(vm: VmId, revision: number): readonly DisseminationEffect[] {
-    // Whoever pulls is alive and busy with it: its children are its own again.
-    this.#unseen.delete(vm);
+  #handlePull(vm: VmId, revision: number): readonly DisseminationEffect[] {
+    // A VM that pulls is alive and will forward the change to its children itself.
+    this.#unacknowledged.delete(vm);
     if (revision >= this.#revision) {
       return [];
     }
@@ -238,10 +238,10 @@
     return [{ kind: "send", to: vm, message }];
   }
 
-  #takeSeen(vm: VmId, revision: number): readonly DisseminationEffect[] {
-    const unseen = this.#unseen.get(vm);
-    if (unseen !== undefined && revision >= unseen.revision) {
-      this.#unseen.delete(vm);
+  #handleSeen(vm: VmId, revision: number): readonly DisseminationEffect[] {
+    const pending = this.#unacknowledged.get(vm);
+    if (pending !== undefined && revision >= pending.revision) {
+      this.#unacknowledged.delete(vm);
     }
     return [];
   }
--- a/packages/coordination/src/dissemination/dissemination_test.ts
+++ b/packages/coordination/src/dissemination/dissemination_test.ts
@@ -45,8 +45,8 @@
     this.net.apply(vm, core.originate(changeTo(revision), this.net.now));
   }
 
-  /** Members that have `revision`. */
-  reached(revision: number): number {
+  /** Number of members that have at least `revision`. */
+  memberCountAt(revision: number): number {
     return [...this.cores.values()]
       .filter((core) => core.revision >= revision).length;
   }
@@ -56,14 +56,14 @@
   return { from: revision - 1, revision, digest: "d", body };
 }
 
-test("a change from any origin reaches all, once each, with few messages", () => {
+test("a change from any origin is applied once by each member, with few messages", () => {
   const fleet = new Fleet();
   for (const [at, origin] of ["e0", "e17", "e59"].entries()) {
     const before = fleet.sent;
     fleet.originate(origin, at + 1);
     fleet.net.run(1_000);
-    expect(fleet.reached(at + 1)).toBe(60);
-    // One push and one confirmation each, and two on the way up.
+    expect(fleet.memberCountAt(at + 1)).toBe(60);
+    // One push and one acknowledgement each, and two of each upstream.
     expect(fleet.sent - before).toBeLessThanOrEqual(2 * 60 + 4);
   }
   for (const revisions of fleet.applied.values()) {
@@ -71,7 +71,7 @@
   }
 });
 
-test("readers are a few live members of the zone", () => {
+test("the readers of a zone are its three highest-ranked joined members", () => {
   const zone = id<ZoneId>("z2");
   const [first, ...rest] = readersOf(zone, MEMBERS);
   const withoutFirst = MEMBERS.map((member) =>
@@ -81,19 +81,19 @@
   expect(readersOf(zone, withoutFirst).slice(0, 2)).toEqual(rest);
 });
 
-// VMs that have to pass a change on have died and nobody knows it yet. All
-// those behind them would run the configuration before until they are found.
-test("a change reaches everyone behind members that have just died", () => {
+// VMs that should forward a change have just failed, which is not yet detected.
+// The VMs below them would use the old configuration until it is.
+test("a change reaches all members below ones that have just failed", () => {
   const fleet = new Fleet();
   const dead = ["e1", "e2", "e3", "e6", "e12"];
   dead.forEach((vm) => fleet.net.kill(vm));
   fleet.originate("e0", 1);
   fleet.net.run(3_000);
-  expect(fleet.reached(1)).toBe(60 - dead.length);
+  expect(fleet.memberCountAt(1)).toBe(60 - dead.length);
 });
 
-// A VM was cut off while three changes were made. It must not apply the third
-// on top of the state before the first.
+// A VM was unreachable during three changes. It must not apply the third to the
+// state before the first.
 test("a member that missed changes pulls them and applies all in order", () => {
   const fleet = new Fleet();
   fleet.net.pause("e40");
@@ -115,14 +115,14 @@
   expect(fleet.applied.get("e40")).toEqual([1, 2, 3]);
 });
 
-// Another reader still sees the row before: going back would undo an accepted
-// change on part of the fleet.
-test("nobody goes back", () => {
+// Another reader still sees the previous row. Returning to it would undo an
+// accepted change on part of the fleet.
+test("no member returns to an earlier revision", () => {
   const fleet = new Fleet();
   fleet.originate("e0", 1);
   fleet.originate("e0", 2);
   fleet.net.run(1_000);
   fleet.originate("e30", 1);
   fleet.net.run(1_000);
-  expect(fleet.reached(2)).toBe(60);
+  expect(fleet.memberCountAt(2)).toBe(60);
 });
--- a/packages/coordination/src/dissemination/messages.ts
+++ b/packages/coordination/src/dissemination/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What travels down the push tree. Changes are opaque to this part: text that
- * the document's owner encodes and applies.
+ * The messages of the push tree. Changes are opaque here: text that the
+ * document's owner encodes and applies.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import type { VmId } from "@poplarthread/ids";
 import type { Sender } from "../membership/messages.ts";
 
-/** One step of a document from a revision to a higher one. */
+/** The change of a document from one revision to a higher one. */
 export interface DisseminatedChange {
-  /** The revision this applies to; 0 when `body` is the whole document. */
+  /** The revision this applies to; 0 if `body` is the full document. */
   readonly from: number;
   readonly revision: number;
-  /** Digest of the document after the change, checked by its owner. */
+  /** Digest of the document after the change, verified by its owner. */
   readonly digest: string;
-  /** The delta, or the whole document, as its owner encodes it. */
+  /** The delta, or the full document, as encoded by its owner. */
   readonly body: string;
 }
 
@@ -26,18 +26,19 @@
     readonly from: Sender;
     readonly change: DisseminatedChange;
   }
-  /** A change too large to push unasked; the receiver pulls it if it lacks it. */
+  /** Announces a change that is too large to push; the receiver pulls it if needed. */
   | {
     readonly kind: "offer";
     readonly from: Sender;
     readonly revision: number;
   }
+  /** Acknowledges a push, an offer or changes with the sender's current revision. */
   | {
     readonly kind: "seen";
     readonly from: Sender;
     readonly revision: number;
   }
-  /** Asks for everything after `revision`. */
+  /** Requests all changes after `revision`. */
   | {
     readonly kind: "pull";
     readonly from: Sender;
@@ -48,21 +49,21 @@
     readonly from: Sender;
     readonly changes: readonly DisseminatedChange[];
   }
-  /** The pulled revision is too old for deltas: load a snapshot of at least `revision`. */
+  /** The receiver's revision is too old for deltas; it has to load a snapshot of at least `revision`. */
   | {
     readonly kind: "snapshot";
     readonly from: Sender;
     readonly revision: number;
   };
 
-/** What a dissemination core wants done. */
+/** Output of a dissemination core: a message to send, or an action. */
 export type DisseminationEffect =
   | {
     readonly kind: "send";
     readonly to: VmId;
     readonly message: DisseminationMessage;
   }
-  /** Apply this change, which follows the revision that this VM has. */
+  /** Apply this change, which follows this VM's revision. */
   | { readonly kind: "apply"; readonly change: DisseminatedChange }
   /** Load a snapshot of at least this revision, then call `loaded`. */
   | { readonly kind: "load-snapshot"; readonly revision: number };
--- a/packages/coordination/src/dissemination/mod.ts
+++ b/packages/coordination/src/dissemination/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Dissemination: a change reaches every VM down a tree of pushes, and whoever
- * the tree misses finds out from the revision on the next heartbeat.
+ * Dissemination: a change is pushed to all VMs along a tree. A VM that misses it
+ * detects this from the revision in the next heartbeat.
  *
  * @module
  */
--- a/packages/coordination/src/dissemination/push_tree.ts
+++ b/packages/coordination/src/dissemination/push_tree.ts
@@ -1,6 +1,7 @@
 /**
- * The tree of pushes: zones form a tree by name, and the members of each zone
- * one by rank, below the zone's first. Every VM computes it by itself.
+ * The push tree. Zones form a tree ordered by name; the members of each zone form
+ * a tree ordered by rank, whose root is the zone's first member. Every VM computes
+ * it locally.
  *
  * @module
  */
@@ -8,10 +9,10 @@
 import type { VmId, ZoneId } from "@poplarthread/ids";
 import { type Ranked, rankedIn } from "./ranks.ts";
 
-/** Children of one node. With 4, a zone of 120 is four levels deep, and 25 zones are three. */
+/** Children per node. With 4, a zone of 120 members has four levels, and 25 zones have three. */
 const FAN_OUT = 4;
 
-/** The tree as one set of members gives it. */
+/** The tree for one set of members. */
 export class PushTree {
   readonly #zoneOf = new Map<VmId, ZoneId>();
   readonly #ranked = new Map<ZoneId, readonly VmId[]>();
@@ -32,7 +33,7 @@
     this.#zones = [...byZone.keys()].sort();
   }
 
-  /** Whom a VM pushes to: its children in the zone and, for a zone's first, those of the zones below. */
+  /** The VMs that a VM pushes to: its children in the zone and, for a zone's first member, the first members of the zones below. */
   childrenOf(vm: VmId): readonly VmId[] {
     const zone = this.#zoneOf.get(vm);
     if (zone === undefined) {
@@ -44,14 +45,18 @@
       return inZone;
     }
     const below = childrenIn(this.#zones, this.#zones.indexOf(zone));
-    return [...below.map((each) => this.#ranked.get(each)![0]!), ...inZone];
+    return [
+      ...below.map((childZone) => this.#ranked.get(childZone)![0]!),
+      ...inZone,
+    ];
   }
 
   /**
-   * Where a VM that did not learn from above has to push as well: the first of
-   * its zone, or from there the first of the first zone, whose pushes reach all.
+   * The VM to which a VM also pushes if it did not receive the change from its
+   * parent: the first member of its zone or, for that member, the first member of
+   * the first zone, whose pushes reach all VMs.
    */
-  aboveOf(vm: VmId): VmId | undefined {
+  upstreamOf(vm: VmId): VmId | undefined {
     const zone = this.#zoneOf.get(vm);
     const first = zone === undefined ? undefined : this.#ranked.get(zone)![0];
     if (first !== vm) {
--- a/packages/coordination/src/dissemination/ranks.ts
+++ b/packages/coordination/src/dissemination/ranks.ts
@@ -1,6 +1,7 @@
 /**
- * Ranks of members, the same on every VM that sees the same members: who reads
- * the table, and who pushes to whom. Nobody is elected.
+ * Ranks of members, which decide who reads the table and who pushes to whom. They
+ * are the same on every VM with the same view of the members, so no election is
+ * needed.
  *
  * @module
  */
@@ -9,15 +10,15 @@
 import type { Member } from "../membership/messages.ts";
 import { hash32 } from "../hash.ts";
 
-/** Readers of the table in each zone: two may die at once and one still reads. */
+/** VMs that read the table in each zone: if two fail at the same time, one still reads. */
 export const READERS_PER_ZONE = 3;
 
-/** What ranking needs to know of a member. */
+/** The fields of a member that ranking uses. */
 export type Ranked = Pick<Member, "vm" | "zone" | "state">;
 
 /**
- * The members of a zone that are not dead, in the order of their rank. Those
- * that leave or are in doubt come last, where nobody depends on them.
+ * The members of a zone that are not dead, by rank. Those that are leaving or
+ * suspect come last, where no other member depends on them.
  */
 export function rankedIn(
   zone: ZoneId,
@@ -27,16 +28,16 @@
     .filter((member) => member.zone === zone && member.state !== "dead")
     .map(({ vm, state }) => ({
       vm,
-      doubt: state === "joined" ? 0 : 1,
+      penalty: state === "joined" ? 0 : 1,
       rank: hash32(`${zone}/${vm}`),
     }))
     .sort((a, b) =>
-      a.doubt - b.doubt || a.rank - b.rank || (a.vm < b.vm ? -1 : 1)
+      a.penalty - b.penalty || a.rank - b.rank || (a.vm < b.vm ? -1 : 1)
     )
     .map(({ vm }) => vm);
 }
 
-/** The VMs that read the table for a zone. */
+/** The VMs that read the table for a zone: the highest-ranked ones in state `joined`. */
 export function readersOf(
   zone: ZoneId,
   members: readonly Ranked[],
--- a/packages/coordination/src/escrow/borrowing.ts
+++ b/packages/coordination/src/escrow/borrowing.ts
@@ -17,7 +17,7 @@
   recordRequest,
 } from "./state.ts";
 
-/** Number of attempts at one lender before another is requestedSlots. */
+/** Number of attempts at one lender before another is tried. */
 const MAX_ATTEMPTS = 3;
 
 /**
--- a/packages/coordination/src/escrow/escrow.ts
+++ b/packages/coordination/src/escrow/escrow.ts
@@ -143,10 +143,10 @@
    * Reports that, according to the platform, an instance ended longer ago than
    * any request's deadline, so it holds no slots.
    */
-  gone(instance: InstanceId, now: number): readonly EscrowEffect[] {
+  instanceEnded(instance: InstanceId, now: number): readonly EscrowEffect[] {
     return this.#step(now, ({ state }) => {
-      if (!state.gone.includes(instance)) {
-        state.gone.push(instance);
+      if (!state.ended.includes(instance)) {
+        state.ended.push(instance);
       }
     });
   }
--- a/packages/coordination/src/escrow/escrow_test.ts
+++ b/packages/coordination/src/escrow/escrow_test.ts
@@ -158,8 +158,8 @@
   world.run(TIMES.termMs * 3);
   expect(world.held(0) + world.held(1)).toBe(8 - theirs);
   for (const { self } of unresponsive) {
-    world.act(0, (core, now) => core.gone(self.instance, now));
-    world.act(1, (core, now) => core.gone(self.instance, now));
+    world.act(0, (core, now) => core.instanceEnded(self.instance, now));
+    world.act(1, (core, now) => core.instanceEnded(self.instance, now));
   }
   expect(world.held(0) + world.held(1)).toBe(8);
 });
--- a/packages/coordination/src/escrow/rules.ts
+++ b/packages/coordination/src/escrow/rules.ts
@@ -83,6 +83,6 @@
   return (state.plan?.earlierOwners ?? []).filter(({ instance }) =>
     instance !== self.instance &&
     !state.confirmed.includes(instance) &&
-    !state.gone.includes(instance)
+    !state.ended.includes(instance)
   );
 }
--- a/packages/coordination/src/escrow/state.ts
+++ b/packages/coordination/src/escrow/state.ts
@@ -109,7 +109,7 @@
   /** Instances that have confirmed holding no more than their share of this epoch. */
   confirmed: InstanceId[];
   /** Instances that have ended, according to the platform. */
-  gone: InstanceId[];
+  ended: InstanceId[];
   /** Instances that have acknowledged that this VM holds no more than its share. */
   loweredAckedBy: InstanceId[];
   loweredSentAt: number;
@@ -134,7 +134,7 @@
     validUntil: NEVER,
     renewals: newRequestLog(),
     confirmed: [],
-    gone: [],
+    ended: [],
     loweredAckedBy: [],
     loweredSentAt: NEVER,
     oneSilentSince: -1,
