--- a/packages/bench/src/decisions/decisions_test.ts
+++ b/packages/bench/src/decisions/decisions_test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from "vitest";
 import { DEPLOYMENTS } from "./deployment.ts";
 import {
-  type Bar,
-  holds,
+  type Check,
+  passes,
   type Pattern,
   type PatternContext,
 } from "./pattern.ts";
@@ -13,60 +13,60 @@
 const deployment = DEPLOYMENTS["hlasovka"]!;
 const ctx: PatternContext = {
   deployment,
-  work: deployment.work.slice(0, 1),
+  workloads: deployment.workloads.slice(0, 1),
   schemes: ["steering", "central"],
   alternatives: [],
   seed: 7,
   quick: true,
 };
 
-/** Simulated time costs processor time: far above what a run needs, also on a
- * busy VM. */
+/** Simulating takes processor time; this is far above what a run needs, even on
+ * a busy VM. */
 const TIMEOUT_MS = 60_000;
 
-/** Bars that miss, for a pattern at its quick size. */
-function missed(pattern: Pattern): Bar[] {
-  const { bars } = pattern(ctx);
-  expect(bars.length).toBeGreaterThan(1);
-  return bars.filter((bar) => !holds(bar));
+/** Checks that a pattern fails in a quick run. */
+function failedChecks(pattern: Pattern): Check[] {
+  const { checks } = pattern(ctx);
+  expect(checks.length).toBeGreaterThan(1);
+  return checks.filter((check) => !passes(check));
 }
 
-describe("what callers of the portal get", { timeout: TIMEOUT_MS }, () => {
-  test("in a burst: nearly what a central queue gives", () => {
-    expect(missed(loads.burst)).toEqual([]);
+describe("service to callers of the portal", { timeout: TIMEOUT_MS }, () => {
+  test("in a burst: p99 and goodput close to a central queue", () => {
+    expect(failedChecks(loads.burst)).toEqual([]);
   });
 
-  // One caller sends half of all requests, or three quarters. With one queue
-  // for all, everyone else would wait behind it.
-  test("beside one caller with most of the load: their usual times", () => {
-    expect(missed(loads.fewCallers)).toEqual([]);
+  // One caller sends half or three quarters of all requests. With a single
+  // shared queue, all other callers would wait behind its requests.
+  test("beside one dominant caller: the others keep their p99", () => {
+    expect(failedChecks(loads.hotCaller)).toEqual([]);
   });
 
-  // A target takes ten times as long as the others and still answers.
-  test("beside a slow target: their usual times", () => {
-    expect(missed(faults.slowTarget)).toEqual([]);
+  // One target takes ten times as long as the others but still responds.
+  test("beside a slow target: requests at the others keep their p99", () => {
+    expect(failedChecks(faults.slowTarget)).toEqual([]);
   });
 
-  test("with long work among short: nearly what a central queue gives", () => {
-    expect(missed(loads.longAmongShort)).toEqual([]);
+  test("with some long requests: p99 and goodput close to a central queue", () => {
+    expect(failedChecks(loads.longAmongShort)).toEqual([]);
   });
 
-  // Twice as much comes as can be served, for as long as it lasts.
-  test("in saturation: full use of the slots, and the first class whole", () => {
-    expect(missed(loads.saturation)).toEqual([]);
+  // Twice the load that can be served, for the full run.
+  test("in saturation: goodput close to a central queue, also of the top class", () => {
+    expect(failedChecks(loads.saturation)).toEqual([]);
   });
 
-  // A region dies at once, and its callers go to the others.
-  test("after the loss of a region: all that the others can carry", () => {
-    expect(missed(shifts.regionLoss)).toEqual([]);
+  // A region fails at once, and its callers use the remaining regions.
+  test("after the loss of a region: full use of the others, no overload", () => {
+    expect(failedChecks(shifts.regionLoss)).toEqual([]);
   });
 
-  test("during a planned drain: every answer", () => {
-    expect(missed(shifts.plannedDrain)).toEqual([]);
+  test("during a planned drain: no request is cut or refused", () => {
+    expect(failedChecks(shifts.plannedDrain)).toEqual([]);
   });
 });
 
-test("the same seed gives the same figures", () => {
+test("the same seed gives the same rows", () => {
   const rows = (): unknown => shifts.plannedDrain(ctx).rows;
   expect(rows()).toEqual(rows());
 });
--- a/packages/bench/src/decisions/deployment.ts
+++ b/packages/bench/src/decisions/deployment.ts
@@ -1,9 +1,9 @@
 /**
- * The two deployments at their sizes of today, and the work that is done there.
+ * The two deployments at their current sizes, and their workloads.
  *
- * Sizes and delays are the users'. How long requests take and how they are
- * mixed is not known; the figures here are assumptions, named as such in the
- * report: a cached page in tens of milliseconds, a booking in about a hundred.
+ * Sizes and network delays are those of the users. Service times and the mix of
+ * requests are not known; the values here are assumptions, and the report says
+ * so: a cached page takes tens of milliseconds, a booking about a hundred.
  *
  * @module
  */
@@ -24,62 +24,67 @@
 } from "@poplarthread/ids";
 
 /** One kind of request to a service. */
-export interface WorkKind {
+export interface RequestKind {
   readonly class: string;
   readonly repeat: Repeat;
-  /** Share of the service's requests. */
+  /** Fraction of the service's requests that are of this kind. */
   readonly share: number;
-  /** Mean time at a target, exponentially distributed, in ms. */
+  /** Mean of the exponentially distributed service time at a target. */
   readonly meanMs: number;
   readonly deadlineMs: number;
 }
 
-/** A service under test and what is asked of it. */
-export interface ServiceWork {
+/** A service under test and the requests sent to it. */
+export interface ServiceWorkload {
   readonly service: ServiceId;
   readonly slotsPerTarget: number;
-  readonly kinds: readonly WorkKind[];
+  readonly kinds: readonly RequestKind[];
 }
 
-/** A deployment in full. */
+/** A deployment: its policy, VMs, targets, workloads and network delays. */
 export interface Deployment {
   readonly name: string;
   readonly policy: Policy;
   readonly vms: readonly VmEntry[];
   readonly targets: readonly TargetEntry[];
-  readonly work: readonly ServiceWork[];
-  readonly zoneMs: number;
-  readonly regionMs: number;
+  readonly workloads: readonly ServiceWorkload[];
+  readonly crossZoneDelayMs: number;
+  readonly crossRegionDelayMs: number;
 }
 
-/** One way within a zone; an assumption, a fraction of that between zones. */
-const SAME_ZONE_MS = 0.25;
-/** One way between a caller and an entry VM. */
-export const CALLER_MS = 1;
+/** One-way delay within a zone; an assumption, a fraction of that between
+ * zones. */
+const SAME_ZONE_DELAY_MS = 0.25;
+/** One-way delay between a caller and an entry VM of its region. */
+export const CALLER_DELAY_MS = 1;
 
-/** Place of a VM or target. */
-export interface Place {
+/** Region and zone of a VM or target. */
+export interface Location {
   readonly region: RegionId;
   readonly zone: ZoneId;
 }
 
-/** One-way delay between two places, in ms. */
-export function delayMs(deployment: Deployment, a: Place, b: Place): number {
-  if (a.region !== b.region) return deployment.regionMs;
-  return a.zone === b.zone ? SAME_ZONE_MS : deployment.zoneMs;
+/** One-way network delay between two locations. */
+export function delayMs(
+  deployment: Deployment,
+  a: Location,
+  b: Location,
+): number {
+  if (a.region !== b.region) return deployment.crossRegionDelayMs;
+  return a.zone === b.zone ? SAME_ZONE_DELAY_MS : deployment.crossZoneDelayMs;
 }
 
-interface Outline {
+interface DeploymentSpec {
   readonly name: string;
   readonly regions: readonly string[];
   readonly vms: number;
-  readonly zoneMs: number;
-  readonly regionMs: number;
+  readonly crossZoneDelayMs: number;
+  readonly crossRegionDelayMs: number;
   readonly services: readonly {
     readonly id: string;
     readonly targets: number;
     readonly slots: number;
-    readonly kinds: readonly WorkKind[];
+    readonly kinds: readonly RequestKind[];
   }[];
   readonly classes: Policy["classes"];
 }
@@ -87,30 +92,34 @@
 function kind(
   name: string,
   share: number,
-  rest: { meanMs: number; deadlineMs: number; once?: boolean },
-): WorkKind {
+  opts: { meanMs: number; deadlineMs: number; atMostOnce?: boolean },
+): RequestKind {
   return {
     class: name,
-    repeat: rest.once ? "at-most-once" : "idempotent",
+    repeat: opts.atMostOnce ? "at-most-once" : "idempotent",
     share,
-    meanMs: rest.meanMs,
-    deadlineMs: rest.deadlineMs,
+    meanMs: opts.meanMs,
+    deadlineMs: opts.deadlineMs,
   };
 }
 
-const HLASOVKA: Outline = {
+const HLASOVKA: DeploymentSpec = {
   name: "hlasovka",
   regions: ["zilina", "kosice", "bratislava"],
   vms: 9,
-  zoneMs: 1.5,
-  regionMs: 55,
+  crossZoneDelayMs: 1.5,
+  crossRegionDelayMs: 55,
   services: [
     {
       id: "portal",
       targets: 25,
       slots: 3,
       kinds: [
-        kind("comments", 0.2, { meanMs: 60, deadlineMs: 10_000, once: true }),
+        kind("comments", 0.2, {
+          meanMs: 60,
+          deadlineMs: 10_000,
+          atMostOnce: true,
+        }),
         kind("pages", 0.8, { meanMs: 40, deadlineMs: 5_000 }),
       ],
     },
@@ -119,7 +128,11 @@
       targets: 12,
       slots: 3,
       kinds: [
-        kind("objections", 0.3, { meanMs: 80, deadlineMs: 10_000, once: true }),
+        kind("objections", 0.3, {
+          meanMs: 80,
+          deadlineMs: 10_000,
+          atMostOnce: true,
+        }),
         kind("pages", 0.7, { meanMs: 40, deadlineMs: 5_000 }),
       ],
     },
@@ -131,19 +144,23 @@
   ],
 };
 
-const KINOLENTA: Outline = {
+const KINOLENTA: DeploymentSpec = {
   name: "kinolenta",
   regions: ["tbilisi", "kutaisi", "batumi"],
   vms: 12,
-  zoneMs: 1,
-  regionMs: 20,
+  crossZoneDelayMs: 1,
+  crossRegionDelayMs: 20,
   services: [
     {
       id: "playlists",
       targets: 35,
       slots: 6,
       kinds: [
-        kind("bookings", 0.1, { meanMs: 100, deadlineMs: 10_000, once: true }),
+        kind("bookings", 0.1, {
+          meanMs: 100,
+          deadlineMs: 10_000,
+          atMostOnce: true,
+        }),
         kind("playlists", 0.6, { meanMs: 50, deadlineMs: 10_000 }),
         kind("pages", 0.3, { meanMs: 40, deadlineMs: 5_000 }),
       ],
@@ -153,7 +170,11 @@
       targets: 12,
       slots: 3,
       kinds: [
-        kind("bookings", 0.4, { meanMs: 100, deadlineMs: 10_000, once: true }),
+        kind("bookings", 0.4, {
+          meanMs: 100,
+          deadlineMs: 10_000,
+          atMostOnce: true,
+        }),
         kind("pages", 0.6, { meanMs: 40, deadlineMs: 5_000 }),
       ],
     },
@@ -165,79 +186,86 @@
   ],
 };
 
-/** The deployments by name. */
+/** Deployments by name. */
 export const DEPLOYMENTS: Readonly<Record<string, Deployment>> = {
   hlasovka: build(HLASOVKA),
   kinolenta: build(KINOLENTA),
 };
 
-/** Slots of a service in a region, of targets that the lists name. */
+/** Total slots of a service's listed targets, in one region or in all. */
 export function slotsIn(
   deployment: Deployment,
-  work: ServiceWork,
+  workload: ServiceWorkload,
   region?: RegionId,
 ): number {
-  return work.slotsPerTarget *
+  return workload.slotsPerTarget *
     deployment.targets.filter((target) =>
-      target.service === work.service &&
+      target.service === workload.service &&
       (region === undefined || target.region === region)
     ).length;
 }
 
-/** Mean time of a service's requests at a target. */
-export function meanMs(work: ServiceWork): number {
-  return work.kinds.reduce((sum, { share, meanMs }) => sum + share * meanMs, 0);
+/** Mean service time over all kinds of a service's requests. */
+export function meanMs(workload: ServiceWorkload): number {
+  return workload.kinds.reduce(
+    (sum, { share, meanMs }) => sum + share * meanMs,
+    0,
+  );
 }
 
-function build(outline: Outline): Deployment {
-  const places = outline.regions.flatMap((region) =>
+function build(spec: DeploymentSpec): Deployment {
+  const locations = spec.regions.flatMap((region) =>
     [1, 2].map((zone) => ({
       region: id<RegionId>(region),
       zone: id<ZoneId>(`${region}-${zone}`),
     }))
   );
-  const targets = outline.services.flatMap((service) =>
+  const targets = spec.services.flatMap((service) =>
     Array.from({ length: service.targets }, (_, i) => ({
       target: id<TargetId>(`${service.id}-${i + 1}`),
       service: id<ServiceId>(service.id),
-      ...spread(places, i),
+      ...locationOf(locations, i),
       leaving: false,
     }))
   );
   return {
-    name: outline.name,
-    policy: policyOf(outline, targets),
-    vms: Array.from({ length: outline.vms }, (_, i) => ({
+    name: spec.name,
+    policy: policyOf(spec, targets),
+    vms: Array.from({ length: spec.vms }, (_, i) => ({
       vm: id<VmId>(`vm-${i + 1}`),
-      ...spread(places, i),
+      ...locationOf(locations, i),
       live: true,
     })),
     targets,
-    work: outline.services.map((service) => ({
+    workloads: spec.services.map((service) => ({
       service: id<ServiceId>(service.id),
       slotsPerTarget: service.slots,
       kinds: service.kinds,
     })),
-    zoneMs: outline.zoneMs,
-    regionMs: outline.regionMs,
+    crossZoneDelayMs: spec.crossZoneDelayMs,
+    crossRegionDelayMs: spec.crossRegionDelayMs,
   };
 }
 
-/** Region by region in turn, so that every region gets its third. */
-function spread(places: readonly Place[], i: number): Place {
-  const regions = places.length / 2;
-  const zone = Math.floor(i / regions) % 2;
-  return places[(i % regions) * 2 + zone]!;
+/** Location of the `i`th VM or target: round-robin over the regions, so that
+ * each region gets an equal share. */
+function locationOf(locations: readonly Location[], i: number): Location {
+  const regionCount = locations.length / 2;
+  const zone = Math.floor(i / regionCount) % 2;
+  return locations[(i % regionCount) * 2 + zone]!;
 }
 
-function policyOf(outline: Outline, targets: readonly TargetEntry[]): Policy {
-  const regions = outline.regions.map((region) => id<RegionId>(region));
+function policyOf(
+  spec: DeploymentSpec,
+  targets: readonly TargetEntry[],
+): Policy {
+  const regions = spec.regions.map((region) => id<RegionId>(region));
   return {
     regions: regions.map((region) => ({
       id: region,
       zones: [1, 2].map((zone) => id<ZoneId>(`${region}-${zone}`)),
     })),
-    services: outline.services.map((service) => ({
+    services: spec.services.map((service) => ({
       id: id<ServiceId>(service.id),
       slotsPerTarget: service.slots,
       utilisation: 1,
@@ -248,12 +276,12 @@
         ).length,
       ])),
     })),
-    classes: outline.classes,
+    classes: spec.classes,
     links: regions.flatMap((from) =>
       regions.filter((to) => to !== from).map((to) => ({
         from,
         to,
-        oneWayMs: outline.regionMs,
+        oneWayMs: spec.crossRegionDelayMs,
         maxInFlight: 30,
       }))
     ),
--- a/packages/bench/src/decisions/event_loop.ts
+++ b/packages/bench/src/decisions/event_loop.ts
@@ -1,6 +1,6 @@
 /**
- * Simulated time: tasks run in the order of their times, at no cost of real
- * time.
+ * Discrete-event loop: runs tasks in the order of their simulated times,
+ * without waiting in real time.
  *
  * @module
  */
@@ -11,18 +11,19 @@
   readonly run: () => void;
 }
 
-/** A binary heap of tasks. Tasks of one time run in the order they came. */
+/** Event loop over a binary heap of tasks. Tasks due at the same time run in
+ * the order in which they were scheduled. */
 export class EventLoop {
   now = 0;
   #tasks: Task[] = [];
   #order = 0;
 
-  /** Runs `run` after `delayMs`. */
+  /** Schedules `run` for `delayMs` of simulated time from now. */
   after(delayMs: number, run: () => void): void {
     this.#push({ at: this.now + delayMs, order: this.#order++, run });
   }
 
-  /** Runs tasks until the time `endMs`. */
+  /** Runs the tasks due up to `endMs`, then sets the time to `endMs`. */
   runUntil(endMs: number): void {
     while (this.#tasks.length > 0 && this.#tasks[0]!.at <= endMs) {
       const task = this.#pop();
--- a/packages/bench/src/decisions/fake_target.ts
+++ b/packages/bench/src/decisions/fake_target.ts
@@ -1,6 +1,6 @@
 /**
- * A small fake target: slots, a queue before them, and the faults that targets
- * have.
+ * A simulated target: slots, a queue in front of them, and faults that can be
+ * injected.
  *
  * @module
  */
@@ -8,53 +8,54 @@
 import type { TargetEntry } from "@poplarthread/decisions";
 import type { EventLoop } from "./event_loop.ts";
 
-/** One piece of work at a target. */
+/** A request being handled by a target. */
 export interface Job {
-  readonly workMs: number;
-  /** Called when it is done, at the target's end of the line. */
+  readonly serviceTimeMs: number;
+  /** Called at the target when the job ends, before any network delay. */
   readonly done: (outcome: JobOutcome) => void;
   state: "queued" | "running" | "ended";
 }
 
-/** How a job ends at the target. */
+/** Outcome of a job at the target. */
 export type JobOutcome = "answered" | "leaving" | "reset";
 
-/** Faults and states that a pattern can set. */
+/** Faults and states that a pattern can inject. */
 export interface TargetFaults {
-  /** Times as long for everything. */
-  slowness: number;
-  /** Takes requests and never answers. */
-  silent: boolean;
-  /** Its process is gone: connections are reset. */
+  /** Factor by which all service times are multiplied. */
+  slowdown: number;
+  /** Accepts requests and never responds. */
+  unresponsive: boolean;
+  /** The process has died: connections are reset. */
   dead: boolean;
-  /** Refuses new work as leaving. */
+  /** Refuses new requests because it is leaving. */
   leaving: boolean;
-  /** Jobs still to be done with a cold cache, at twice the time. */
+  /** Number of further jobs that run with a cold cache, at
+   * {@link COLD_SLOWDOWN} times the service time. */
   coldJobs: number;
 }
 
-/** Time against the usual while caches are cold. */
-const COLD_SLOWNESS = 2;
+/** Factor on the service time while caches are cold. */
+const COLD_SLOWDOWN = 2;
 
-/** A target that works on `slots` jobs at once and queues what is above. */
+/** A target that runs up to `slots` jobs at once and queues the others. */
 export class FakeTarget {
   readonly faults: TargetFaults = {
-    slowness: 1,
-    silent: false,
+    slowdown: 1,
+    unresponsive: false,
     dead: false,
     leaving: false,
     coldJobs: 0,
   };
   running = 0;
-  /** Most jobs above its slots at one time. */
-  mostOver = 0;
-  /** Jobs that came after it began to refuse. */
-  lateJobs = 0;
+  /** Highest number of jobs beyond its slots seen at any time. */
+  maxOverSlots = 0;
+  /** Jobs refused because it was already leaving. */
+  jobsWhileLeaving = 0;
   readonly entry: TargetEntry;
   readonly slots: number;
   readonly #loop: EventLoop;
   #queue: Job[] = [];
-  #all = new Set<Job>();
+  #jobs = new Set<Job>();
 
   constructor(loop: EventLoop, entry: TargetEntry, slots: number) {
     this.#loop = loop;
@@ -62,69 +63,69 @@
     this.slots = slots;
   }
 
-  /** Jobs here, running or queued. */
+  /** Number of running and queued jobs. */
   get load(): number {
     return this.running + this.#queue.length;
   }
 
-  /** A job comes in. */
-  take(job: Job): void {
+  /** Starts, queues or refuses a job. */
+  submit(job: Job): void {
     if (this.faults.dead) return this.#end(job, "reset");
     if (this.faults.leaving) {
-      this.lateJobs++;
+      this.jobsWhileLeaving++;
       return this.#end(job, "leaving");
     }
-    this.#all.add(job);
-    this.mostOver = Math.max(this.mostOver, this.load + 1 - this.slots);
-    if (this.running < this.slots) this.#run(job);
+    this.#jobs.add(job);
+    this.maxOverSlots = Math.max(this.maxOverSlots, this.load + 1 - this.slots);
+    if (this.running < this.slots) this.#start(job);
     else this.#queue.push(job);
   }
 
-  /** The caller's side closed the connection. */
+  /** Cancels a job because the client closed the connection. */
   cancel(job: Job): void {
     if (job.state === "ended") return;
     const wasRunning = job.state === "running";
     job.state = "ended";
-    this.#all.delete(job);
-    if (wasRunning) this.#next();
+    this.#jobs.delete(job);
+    if (wasRunning) this.#startNext();
     else this.#queue = this.#queue.filter((other) => other !== job);
   }
 
-  /** The process dies: every connection is reset. */
+  /** Kills the process: every connection is reset. */
   kill(): void {
     this.faults.dead = true;
     this.#queue = [];
     this.running = 0;
-    for (const job of this.#all) this.#end(job, "reset");
-    this.#all.clear();
+    for (const job of this.#jobs) this.#end(job, "reset");
+    this.#jobs.clear();
   }
 
-  /** A new process, with a cold cache. */
-  revive(coldJobs: number): void {
+  /** Starts a new process whose first `coldJobs` jobs find a cold cache. */
+  restart(coldJobs: number): void {
     this.faults.dead = false;
     this.faults.coldJobs = coldJobs;
   }
 
-  #run(job: Job): void {
+  #start(job: Job): void {
     job.state = "running";
     this.running++;
-    if (this.faults.silent) return;
+    if (this.faults.unresponsive) return;
     const cold = this.faults.coldJobs > 0;
     if (cold) this.faults.coldJobs--;
-    const slowness = this.faults.slowness * (cold ? COLD_SLOWNESS : 1);
-    this.#loop.after(job.workMs * slowness, () => {
+    const slowdown = this.faults.slowdown * (cold ? COLD_SLOWDOWN : 1);
+    this.#loop.after(job.serviceTimeMs * slowdown, () => {
       if (job.state !== "running") return;
-      this.#all.delete(job);
+      this.#jobs.delete(job);
       job.state = "ended";
-      this.#next();
+      this.#startNext();
       this.#end(job, "answered");
     });
   }
 
-  #next(): void {
+  #startNext(): void {
     this.running--;
     const job = this.#queue.shift();
-    if (job !== undefined) this.#run(job);
+    if (job !== undefined) this.#start(job);
   }
 
   #end(job: Job, outcome: JobOutcome): void {
--- a/packages/bench/src/decisions/main.ts
+++ b/packages/bench/src/decisions/main.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- decisions`: the production decisions against a central
- * queue and the usual ways, through patterns of load and faults.
+ * `npm run bench -- decisions`: compares the production decisions with a
+ * central queue and with common load-balancing schemes, under patterns of load
+ * and faults.
  *
  * @module
  */
@@ -11,9 +12,9 @@
 import meow from "meow";
 import { DEPLOYMENTS } from "./deployment.ts";
 import {
-  type Bar,
+  type Check,
   type Findings,
-  holds,
+  passes,
   type Pattern,
   type PatternContext,
 } from "./pattern.ts";
@@ -21,29 +22,41 @@
 import * as loads from "./patterns_load.ts";
 import * as shifts from "./patterns_shift.ts";
 import { writePlots } from "./plots.ts";
-import { barTable, joined, rowTable } from "./report.ts";
+import { checkTable, mergeFindings, rowTable } from "./report.ts";
 
 const PATTERNS: Readonly<Record<string, Pattern>> = {
   steady: loads.steady,
   saturation: loads.saturation,
   burst: loads.burst,
-  callers: loads.fewCallers,
+  callers: loads.hotCaller,
   long: loads.longAmongShort,
   premiere: loads.premiere,
   slow: faults.slowTarget,
-  silent: faults.silentTarget,
+  silent: faults.unresponsiveTarget,
   dead: faults.deadTarget,
-  lying: faults.lyingReports,
-  "all-dead": faults.allLookDead,
+  lying: faults.falseHealthReports,
+  "all-dead": faults.allReportUnhealthy,
   stops: faults.measurementsStop,
   region: shifts.regionLoss,
   drain: shifts.plannedDrain,
   recovery: shifts.recovery,
 };
 
-/** Schemes in every comparison, and those that only a full run adds. */
-const USUAL = ["steering", "central", "two-choices", "round-robin", "random"];
-const ALTERNATIVES = ["hash-lending", "no-lending", "forwarding", "probing"];
+/** Schemes in every comparison. */
+const COMPARED_SCHEMES = [
+  "steering",
+  "central",
+  "two-choices",
+  "round-robin",
+  "random",
+];
+/** Schemes that only a full run adds. */
+const ALTERNATIVE_SCHEMES = [
+  "hash-lending",
+  "no-lending",
+  "forwarding",
+  "probing",
+];
 
 const HELP = `
   Usage
@@ -85,28 +98,34 @@
   for (const name of names) {
     const deployment = DEPLOYMENTS[name];
     if (deployment === undefined) {
-      throw new RangeError(`Cannot run the bench: no deployment ${name}`);
+      throw new RangeError(
+        `Cannot run the bench: unknown deployment "${name}"`,
+      );
     }
-    const found = runPatterns({
+    const findings = runPatterns({
       deployment,
-      work: deployment.work,
-      schemes: USUAL,
-      alternatives: flags.quick ? [] : ALTERNATIVES,
+      workloads: deployment.workloads,
+      schemes: COMPARED_SCHEMES,
+      alternatives: flags.quick ? [] : ALTERNATIVE_SCHEMES,
       seed: flags.seed,
       quick: flags.quick,
     }, flags.pattern);
     console.log(`\n## ${name}, seed ${flags.seed}\n`);
-    if (flags.rows) console.log(`${rowTable(found.rows)}\n`);
-    console.log(barTable(found.bars));
-    console.log(`\n${summary(found.bars)}`);
+    if (flags.rows) console.log(`${rowTable(findings.rows)}\n`);
+    console.log(checkTable(findings.checks));
+    console.log(`\n${summary(findings.checks)}`);
     if (flags.report !== undefined) {
-      await writeReport(found, { dir: flags.report, name, seed: flags.seed });
+      await writeReport(findings, {
+        dir: flags.report,
+        name,
+        seed: flags.seed,
+      });
     }
   }
 }
 
 function runPatterns(ctx: PatternContext, only?: string): Findings {
-  const found = Object.entries(PATTERNS)
+  const results = Object.entries(PATTERNS)
     .filter(([name]) => only === undefined || only === name)
     .map(([name, pattern]) => {
       const start = performance.now();
@@ -115,44 +134,49 @@
       process.stderr.write(`${name}: ${seconds.toFixed(1)} s\n`);
       return findings;
     });
-  return joined(found.map(withSlotBar));
+  return mergeFindings(results.map(withSlotCheck));
 }
 
-/** Whatever the pattern, our scheme never sends a target more than its slots. */
-function withSlotBar(findings: Findings): Findings {
-  const ours = findings.rows.filter(({ scheme }) => scheme === "steering");
-  const [first] = ours;
+/** Adds the check that `steering` never sends a target more requests than it
+ * has slots, which must hold in every pattern. */
+function withSlotCheck(findings: Findings): Findings {
+  const steeringRows = findings.rows.filter(({ scheme }) =>
+    scheme === "steering"
+  );
+  const [first] = steeringRows;
   if (first === undefined) return findings;
-  const bar: Bar = {
+  const check: Check = {
     name: `${first.pattern}: most requests at a target over its slots`,
-    value: Math.max(0, ...ours.map(({ mostOver }) => mostOver)),
+    value: Math.max(0, ...steeringRows.map(({ maxOverSlots }) => maxOverSlots)),
     bound: 0,
-    sense: "at most",
+    comparison: "at most",
   };
-  return { ...findings, bars: [...findings.bars, bar] };
+  return { ...findings, checks: [...findings.checks, check] };
 }
 
-function summary(bars: readonly Bar[]): string {
-  const missed = bars.filter((bar) => !holds(bar)).length;
-  return `${bars.length - missed} of ${bars.length} bars pass, ${missed} miss`;
+function summary(checks: readonly Check[]): string {
+  const failed = checks.filter((check) => !passes(check)).length;
+  return `${
+    checks.length - failed
+  } of ${checks.length} bars pass, ${failed} miss`;
 }
 
 async function writeReport(
-  found: Findings,
+  findings: Findings,
   opts: { dir: string; name: string; seed: number },
 ): Promise<void> {
   const { dir, name } = opts;
-  const plots = await writePlots(found.points, {
+  const plots = await writePlots(findings.points, {
     dir,
     prefix: `decisions-${name}`,
   });
   const text = [
     `# Decisions under load: ${name}`,
     `Written by \`npm run bench -- decisions --report ${dir}\`, seed ${opts.seed}.`,
-    summary(found.bars),
-    barTable(found.bars),
+    summary(findings.checks),
+    checkTable(findings.checks),
     ...plots.map((plot) => `![${plot}](${plot})`),
-    rowTable(found.rows),
+    rowTable(findings.rows),
   ].join("\n\n");
   await writeFile(join(dir, `decisions-${name}.md`), `${text}\n`);
 }
--- a/packages/bench/src/decisions/pattern.ts
+++ b/packages/bench/src/decisions/pattern.ts
@@ -1,13 +1,14 @@
 /**
- * What a pattern of load gives: rows of figures, bars, and series for plots.
+ * Findings of a pattern of load or faults: rows of figures, checks against
+ * bounds, and series for plots.
  *
  * @module
  */
 
-import type { Deployment, ServiceWork } from "./deployment.ts";
+import type { Deployment, ServiceWorkload } from "./deployment.ts";
 import type { Metrics } from "./metrics.ts";
 
-/** One line of figures. */
+/** Figures of one run: a row of the report. */
 export interface Row {
   readonly pattern: string;
   readonly service: string;
@@ -18,20 +19,21 @@
   readonly offered: number;
   readonly refused: number;
   readonly unknown: number;
-  /** Answered in time within the counted span. */
+  /** Requests served in time whose outcome came in the counted period. */
   readonly goodput: number;
-  readonly mostOver: number;
+  readonly maxOverSlots: number;
 }
 
-/** A figure against its bound. */
-export interface Bar {
+/** A figure and the bound that it must meet; reports call it a bar. */
+export interface Check {
   readonly name: string;
   readonly value: number;
   readonly bound: number;
-  /** Whether the figure must be at most or at least the bound. */
-  readonly sense: "at most" | "at least";
-  /** The same figure of the central queue, where that tells the cause. */
-  readonly central?: number;
+  /** Whether the value must be at most or at least the bound. */
+  readonly comparison: "at most" | "at least";
+  /** The same figure for the central queue, where it helps to find the cause of
+   * a miss. */
+  readonly centralValue?: number;
 }
 
 /** A point of a plot. */
@@ -42,51 +44,51 @@
   readonly y: number;
 }
 
-/** All that a pattern found. */
+/** Results of a pattern. */
 export interface Findings {
   readonly rows: Row[];
-  readonly bars: Bar[];
+  readonly checks: Check[];
   readonly points: Point[];
 }
 
-/** How a pattern is to be run. */
+/** Parameters for running a pattern. */
 export interface PatternContext {
   readonly deployment: Deployment;
-  /** Services to run; each runs alone. */
-  readonly work: readonly ServiceWork[];
-  /** Schemes to compare; ours and the central queue at least. */
+  /** Workloads to run, each on its own. */
+  readonly workloads: readonly ServiceWorkload[];
+  /** Schemes to compare; must include `steering` and `central`. */
   readonly schemes: readonly string[];
-  /** Further schemes, compared under steady load only. */
+  /** Additional schemes, compared under steady load only. */
   readonly alternatives: readonly string[];
   readonly seed: number;
-  /** Shorter runs, fewer levels of load. */
+  /** Use shorter runs and fewer load levels. */
   readonly quick: boolean;
 }
 
-/** One pattern of load. */
+/** A pattern of load or faults. */
 export type Pattern = (ctx: PatternContext) => Findings;
 
-/** Whether a bar holds. A figure that could not be taken misses. */
-export function holds(bar: Bar): boolean {
-  return bar.sense === "at most"
-    ? bar.value <= bar.bound
-    : bar.value >= bar.bound;
+/** Whether a check passes. A value that could not be determined (NaN) fails. */
+export function passes(check: Check): boolean {
+  return check.comparison === "at most"
+    ? check.value <= check.bound
+    : check.value >= check.bound;
 }
 
-/** A row from a run's counts. */
+/** Builds a row from a run's metrics. */
 export function rowOf(
   name: Pick<Row, "pattern" | "service" | "scheme" | "load">,
-  result: { metrics: Metrics; mostOver: number },
+  result: { metrics: Metrics; maxOverSlots: number },
 ): Row {
   const { all } = result.metrics;
   return {
     ...name,
-    p50: all.quantile(50),
-    p99: all.quantile(99),
+    p50: all.percentile(50),
+    p99: all.percentile(99),
     offered: all.offered,
     refused: all.refused,
     unknown: all.unknown,
     goodput: all.goodput,
-    mostOver: result.mostOver,
+    maxOverSlots: result.maxOverSlots,
   };
 }
--- a/packages/bench/src/decisions/patterns_fault.ts
+++ b/packages/bench/src/decisions/patterns_fault.ts
@@ -1,85 +1,89 @@
 /**
- * Patterns of faults: slow, silent, dead and lying targets, measurements that
- * stop.
+ * Patterns of faults: slow, unresponsive and dead targets, false health
+ * reports, and a loss of demand measurements.
  *
  * @module
  */
 
 import type { SteeringEvent } from "@poplarthread/decisions";
-import type { ServiceWork } from "./deployment.ts";
+import type { ServiceWorkload } from "./deployment.ts";
 import type { FakeTarget } from "./fake_target.ts";
 import { type Findings, type PatternContext, rowOf } from "./pattern.ts";
-import { specOf } from "./patterns_load.ts";
+import { baseSpecOf } from "./patterns_load.ts";
 import { run, type RunResult, type RunSpec } from "./runs.ts";
 import { SteeringScheme } from "./scheme_steering.ts";
 import type { World } from "./world.ts";
 
-/** When a fault begins. */
-export const FAULT_MS = 4_000;
-/** One target becomes ten times as slow. */
+/** Simulated time at which a fault begins. */
+export const FAULT_AT_MS = 4_000;
+
+/** One target takes ten times as long for every request. */
 export function slowTarget(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+  return compareWithFault(ctx, {
     pattern: "slow target",
     bound: 1.2,
-    others: true,
+    othersOnly: true,
     fault: (world, targets) => {
-      world.loop.after(FAULT_MS, () => targets[0]!.faults.slowness = 10);
+      world.loop.after(FAULT_AT_MS, () => targets[0]!.faults.slowdown = 10);
     },
   });
 }
 
-/** One target takes requests and never answers. */
-export function silentTarget(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+/** One target accepts requests and never responds. */
+export function unresponsiveTarget(ctx: PatternContext): Findings {
+  return compareWithFault(ctx, {
     pattern: "silent target",
     bound: 1.2,
-    others: true,
+    othersOnly: true,
     fault: (world, targets) => {
-      world.loop.after(FAULT_MS, () => targets[0]!.faults.silent = true);
+      world.loop.after(
+        FAULT_AT_MS,
+        () => targets[0]!.faults.unresponsive = true,
+      );
     },
   });
 }
 
-/** One target's process dies without a word. */
+/** One target's process dies without notice. */
 export function deadTarget(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+  return compareWithFault(ctx, {
     pattern: "dead target",
     bound: 1.2,
-    others: true,
+    othersOnly: true,
     fault: (world, targets) => {
-      world.loop.after(FAULT_MS, () => targets[0]!.kill());
+      world.loop.after(FAULT_AT_MS, () => targets[0]!.kill());
     },
   });
 }
 
-/** A third of the targets report that they are ill, and are not. */
-export function lyingReports(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+/** A third of the targets report that they are unhealthy, but work normally. */
+export function falseHealthReports(ctx: PatternContext): Findings {
+  return compareWithFault(ctx, {
     pattern: "lying reports",
     bound: 1.3,
-    others: false,
-    fault: (world, targets) => report(world, targets, (i) => i % 3 !== 0),
+    othersOnly: false,
+    fault: (world, targets) => sendReports(world, targets, (i) => i % 3 !== 0),
   });
 }
 
-/** Every target reports that it is ill. */
-export function allLookDead(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+/** Every target reports that it is unhealthy, but works normally. */
+export function allReportUnhealthy(ctx: PatternContext): Findings {
+  return compareWithFault(ctx, {
     pattern: "all look dead",
     bound: 1.1,
-    others: false,
-    fault: (world, targets) => report(world, targets, () => false),
+    othersOnly: false,
+    fault: (world, targets) => sendReports(world, targets, () => false),
   });
 }
 
-/** Demand is measured no more; what was known grows old. */
+/** Demand is no longer measured; the last measurements only age. */
 export function measurementsStop(ctx: PatternContext): Findings {
-  return faulty(ctx, {
+  return compareWithFault(ctx, {
     pattern: "measurements stop",
     bound: 1.1,
-    others: false,
+    othersOnly: false,
     fault: (world) => {
-      world.loop.after(FAULT_MS, () => {
+      world.loop.after(FAULT_AT_MS, () => {
         if (world.scheme instanceof SteeringScheme) {
           world.scheme.stopMeasuring();
         }
@@ -88,80 +92,86 @@
   });
 }
 
-function faulty(
+function compareWithFault(
   ctx: PatternContext,
   opts: {
     pattern: string;
     bound: number;
-    /** Counts only requests that the faulty target did not get. */
-    others: boolean;
+    /** Takes p99 only over requests that did not go to the faulty target. */
+    othersOnly: boolean;
     fault: (world: World, targets: FakeTarget[]) => void;
   },
 ): Findings {
-  const found: Findings = { rows: [], bars: [], points: [] };
-  const runs = ctx.work.flatMap((work) =>
-    [0.6, 0.8].map((load) => ({ work, load }))
+  const findings: Findings = { rows: [], checks: [], points: [] };
+  const runs = ctx.workloads.flatMap((workload) =>
+    [0.6, 0.8].map((load) => ({ workload, load }))
   );
-  for (const { work, load } of runs) {
+  for (const { workload, load } of runs) {
     const spec: RunSpec = {
-      ...specOf(ctx, work),
+      ...baseSpecOf(ctx, workload),
       scheme: "steering",
       load: () => load,
-      warmUpSeconds: FAULT_MS / 1_000,
+      warmUpSeconds: FAULT_AT_MS / 1_000,
     };
-    const tagOthers = (world: World): void => {
-      const [bad] = targetsOf(world, work);
+    const tagByTarget = (world: World): void => {
+      const [faultyTarget] = targetsOf(world, workload);
       world.tagOf = ({ target }) =>
-        target === bad!.entry.target ? "bad" : "other";
+        target === faultyTarget!.entry.target ? "bad" : "other";
     };
-    const pair = (scheme: string): [RunResult, RunResult] => [
-      run({ ...spec, scheme, events: tagOthers }),
+    const runPair = (scheme: string): [RunResult, RunResult] => [
+      run({ ...spec, scheme, events: tagByTarget }),
       run({
         ...spec,
         scheme,
         events: (world) => {
-          tagOthers(world);
-          opts.fault(world, targetsOf(world, work));
+          tagByTarget(world);
+          opts.fault(world, targetsOf(world, workload));
         },
       }),
     ];
-    const [well, ill] = pair("steering");
-    const [wellLimit, illLimit] = pair("central");
+    const [healthy, faulty] = runPair("steering");
+    const [centralHealthy, centralFaulty] = runPair("central");
     const { pattern } = opts;
-    const name = { pattern, service: work.service, scheme: "steering" };
-    found.rows.push(rowOf({ ...name, load: load.toFixed(2) }, ill));
+    const name = { pattern, service: workload.service, scheme: "steering" };
+    findings.rows.push(rowOf({ ...name, load: load.toFixed(2) }, faulty));
     const p99 = (result: RunResult): number =>
-      (opts.others ? result.metrics.byTag.get("other")! : result.metrics.all)
-        .quantile(99);
-    found.bars.push({
-      name: `${work.service}: ${pattern} at ${load} load, p99 ${
-        opts.others ? "of others' work " : ""
+      (opts.othersOnly
+        ? result.metrics.byTag.get("other")!
+        : result.metrics.all)
+        .percentile(99);
+    findings.checks.push({
+      name: `${workload.service}: ${pattern} at ${load} load, p99 ${
+        opts.othersOnly ? "of others' work " : ""
       }against without it`,
-      value: p99(ill) / p99(well),
-      central: p99(illLimit) / p99(wellLimit),
+      value: p99(faulty) / p99(healthy),
+      centralValue: p99(centralFaulty) / p99(centralHealthy),
       bound: opts.bound,
-      sense: "at most",
+      comparison: "at most",
     }, {
-      name: `${work.service}: ${pattern} at ${load} load, goodput ` +
+      name: `${workload.service}: ${pattern} at ${load} load, goodput ` +
         "against without it",
-      value: ill.metrics.all.goodput / well.metrics.all.goodput,
-      central: illLimit.metrics.all.goodput / wellLimit.metrics.all.goodput,
+      value: faulty.metrics.all.goodput / healthy.metrics.all.goodput,
+      centralValue: centralFaulty.metrics.all.goodput /
+        centralHealthy.metrics.all.goodput,
       bound: 0.99,
-      sense: "at least",
+      comparison: "at least",
     });
   }
-  return found;
+  return findings;
 }
 
-/** Targets of a service, the first one to be made faulty. */
-export function targetsOf(world: World, work: ServiceWork): FakeTarget[] {
+/** Targets of a service; the first is the one that faults are injected into. */
+export function targetsOf(
+  world: World,
+  workload: ServiceWorkload,
+): FakeTarget[] {
   return [...world.targets.values()].filter(({ entry }) =>
-    entry.service === work.service
+    entry.service === workload.service
   );
 }
 
-/** Reports come once a second and are 500 ms old. */
-function report(
+/** Delivers health reports once a second, each 500 ms old on delivery. */
+function sendReports(
   world: World,
   targets: readonly FakeTarget[],
   healthy: (i: number) => boolean,
@@ -173,8 +183,8 @@
       healthy: healthy(i),
       ageMs: 500,
     };
-    if (world.scheme instanceof SteeringScheme) world.scheme.tellEach(event);
+    if (world.scheme instanceof SteeringScheme) world.scheme.notifyAll(event);
   });
   if (world.loop.now > world.countTo) return;
-  world.loop.after(1_000, () => report(world, targets, healthy));
+  world.loop.after(1_000, () => sendReports(world, targets, healthy));
 }
--- a/packages/bench/src/decisions/patterns_load.ts
+++ b/packages/bench/src/decisions/patterns_load.ts
@@ -1,13 +1,14 @@
 /**
- * Patterns of load: steady, saturation, bursts, few callers, long among short.
+ * Patterns of load: steady, saturation, bursts, one dominant caller, and a few
+ * long requests among short ones.
  *
  * @module
  */
 
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
-import { meanMs, type ServiceWork } from "./deployment.ts";
+import { meanMs, type ServiceWorkload } from "./deployment.ts";
 import {
-  type Bar,
+  type Check,
   type Findings,
   type PatternContext,
   type Point,
@@ -16,286 +17,309 @@
 } from "./pattern.ts";
 import {
   type CallerPicker,
-  evenCallers,
-  exponentialWork,
+  exponentialServiceTime,
   run,
   type RunResult,
   type RunSpec,
+  uniformCaller,
 } from "./runs.ts";
 
-const FULL_LOADS = [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95];
-/** A run's p99 at this share of load stands for an unhurried day. */
-const CALM = 0.5;
-/** Headroom ends where p99 passes this many times the calm day's. */
-const HEADROOM_P99 = 1.5;
+const LOAD_LEVELS = [0.5, 0.6, 0.7, 0.8, 0.85, 0.9, 0.95];
+/** Load level whose p99 serves as the baseline for headroom. */
+const REFERENCE_LOAD = 0.5;
+/** Headroom ends where p99 exceeds the baseline by more than this factor. */
+const HEADROOM_P99_FACTOR = 1.5;
 
-/** Steady load at several levels, with headroom. */
+/** Steady load at several levels, and the headroom they show. */
 export function steady(ctx: PatternContext): Findings {
-  const found: Findings = { rows: [], bars: [], points: [] };
-  for (const work of ctx.work) {
-    const loads = ctx.quick ? [CALM, 0.8, 0.95] : FULL_LOADS;
+  const findings: Findings = { rows: [], checks: [], points: [] };
+  for (const workload of ctx.workloads) {
+    const loads = ctx.quick ? [REFERENCE_LOAD, 0.8, 0.95] : LOAD_LEVELS;
     const p99 = new Map<string, number>();
     const schemes = [...ctx.schemes, ...ctx.alternatives];
     for (const scheme of schemes) {
       const levels = ctx.alternatives.includes(scheme) ? [0.8, 0.95] : loads;
       for (const load of levels) {
-        const result = steadyRun(ctx, work, { scheme, load });
+        const result = steadyRun(ctx, workload, { scheme, load });
         const row = rowOf({
           pattern: "steady",
-          service: work.service,
+          service: workload.service,
           scheme,
           load: load.toFixed(2),
         }, result);
-        found.rows.push(row);
-        found.points.push(pointOf(work, row, load));
+        findings.rows.push(row);
+        findings.points.push(pointOf(workload, row, load));
         p99.set(`${scheme} ${load}`, row.p99);
       }
     }
-    found.bars.push(...steadyBars(work, p99));
-    found.bars.push(...headroomBars(work, { loads, p99 }));
+    findings.checks.push(...steadyChecks(workload, p99));
+    findings.checks.push(...headroomChecks(workload, { loads, p99 }));
   }
-  return found;
+  return findings;
 }
 
-/** Twice what can be served: goodput, and the first class. */
+/** Twice the capacity: goodput overall and of the highest class. */
 export function saturation(ctx: PatternContext): Findings {
-  const found: Findings = { rows: [], bars: [], points: [] };
-  for (const work of ctx.work) {
+  const findings: Findings = { rows: [], checks: [], points: [] };
+  for (const workload of ctx.workloads) {
     const results = new Map<string, RunResult>();
     for (const scheme of ctx.schemes) {
-      const result = steadyRun(ctx, work, { scheme, load: 2 });
+      const result = steadyRun(ctx, workload, { scheme, load: 2 });
       results.set(scheme, result);
-      const name = { service: work.service, scheme, load: "2.00" };
-      found.rows.push(rowOf({ pattern: "saturation", ...name }, result));
+      const name = { service: workload.service, scheme, load: "2.00" };
+      findings.rows.push(rowOf({ pattern: "saturation", ...name }, result));
     }
-    found.bars.push(...saturationBars(work, results));
+    findings.checks.push(...saturationChecks(workload, results));
   }
-  return found;
+  return findings;
 }
 
-/** Bursts of 200 ms at three times the capacity on top of a moderate load. */
+/** Moderate load, with bursts of 200 ms at three times the capacity. */
 export function burst(ctx: PatternContext): Findings {
   const load = (now: number): number => now % 4_000 < 200 ? 3 : 0.6;
-  return compared(ctx, { pattern: "burst", load, bound: 2 });
+  return compareWithCentral(ctx, { pattern: "burst", load, bound: 2 });
 }
 
-/** One request in twenty takes twenty times as long. */
+/** One request in twenty takes twenty times as long; service times are divided
+ * by 1.95 to keep the mean. */
 export function longAmongShort(ctx: PatternContext): Findings {
-  const workMs: RunSpec["workMs"] = (rng, kind) => {
+  const serviceTimeMs: RunSpec["serviceTimeMs"] = (rng, kind) => {
     const isLong = uniformFloat64(rng) < 0.05;
-    return exponentialWork(rng, kind) * (isLong ? 20 : 1) / 1.95;
+    return exponentialServiceTime(rng, kind) * (isLong ? 20 : 1) / 1.95;
   };
   const load = (): number => 0.8;
-  return compared(ctx, {
+  return compareWithCentral(ctx, {
     pattern: "long among short",
     load,
     bound: 1.3,
-    workMs,
+    serviceTimeMs,
   });
 }
 
-/** One caller adds as much as all others together, or floods. */
-export function fewCallers(ctx: PatternContext): Findings {
-  const found: Findings = { rows: [], bars: [], points: [] };
-  const work = ctx.work[0]!;
-  const alone = withCallers(ctx, work, { load: 0.4, hotShare: 0 });
-  const p99Alone = alone.metrics.byTag.get("other")!.quantile(99);
-  push(found, ctx, { work, load: "0.40", result: alone });
+/** One caller sends as much as all others together, or three times as much. */
+export function hotCaller(ctx: PatternContext): Findings {
+  const findings: Findings = { rows: [], checks: [], points: [] };
+  const workload = ctx.workloads[0]!;
+  const withoutHot = runWithHotCaller(ctx, workload, {
+    load: 0.4,
+    hotShare: 0,
+  });
+  const p99WithoutHot = withoutHot.metrics.byTag.get("other")!.percentile(99);
+  addRow(findings, ctx, { workload, load: "0.40", result: withoutHot });
   for (const load of [0.8, 1.6]) {
     const hotShare = 1 - 0.4 / load;
-    const result = withCallers(ctx, work, { load, hotShare });
-    push(found, ctx, { work, load: load.toFixed(2), result });
+    const result = runWithHotCaller(ctx, workload, { load, hotShare });
+    addRow(findings, ctx, { workload, load: load.toFixed(2), result });
     const others = result.metrics.byTag.get("other")!;
-    const hot = Math.round(hotShare * 100);
-    found.bars.push({
-      name: `${work.service}: one caller with ${hot} % of load ${load}, ` +
+    const hotPercent = Math.round(hotShare * 100);
+    findings.checks.push({
+      name:
+        `${workload.service}: one caller with ${hotPercent} % of load ${load}, ` +
         `others' p99 against without it`,
-      value: others.quantile(99) / p99Alone,
+      value: others.percentile(99) / p99WithoutHot,
       bound: 1.2,
-      sense: "at most",
+      comparison: "at most",
     }, {
-      name: `${work.service}: the same, others refused`,
+      name: `${workload.service}: the same, others refused`,
       value: others.refused / others.offered,
       bound: 0.001,
-      sense: "at most",
+      comparison: "at most",
     });
   }
-  return found;
+  return findings;
 }
 
-/** A premiere weekend: demand climbs past the capacity and falls again. */
+/** Premiere weekend: demand rises above the capacity and falls again. */
 export function premiere(ctx: PatternContext): Findings {
   const seconds = ctx.quick ? 20 : 40;
   const load = (now: number): number =>
     0.5 + 0.8 * Math.sin(Math.PI * Math.min(1, now / (seconds * 1_000)));
-  return compared(ctx, { pattern: "premiere", load, bound: 1.3, seconds });
+  return compareWithCentral(ctx, {
+    pattern: "premiere",
+    load,
+    bound: 1.3,
+    seconds,
+  });
 }
 
-function push(
-  found: Findings,
+function addRow(
+  findings: Findings,
   _ctx: PatternContext,
-  run: { work: ServiceWork; load: string; result: RunResult },
+  run: { workload: ServiceWorkload; load: string; result: RunResult },
 ): void {
-  found.rows.push(rowOf({
+  findings.rows.push(rowOf({
     pattern: "few callers",
-    service: run.work.service,
+    service: run.workload.service,
     scheme: "steering",
     load: run.load,
   }, run.result));
 }
 
-function withCallers(
+function runWithHotCaller(
   ctx: PatternContext,
-  work: ServiceWork,
+  workload: ServiceWorkload,
   opts: { load: number; hotShare: number },
 ): RunResult {
   const regions = ctx.deployment.policy.regions.map(({ id }) => id);
   const hotRegion = regions[0]!;
-  const others = (1 - opts.hotShare) / regions.length;
-  const inHotRegion = opts.hotShare / (opts.hotShare + others);
+  const otherShare = (1 - opts.hotShare) / regions.length;
+  const hotShareInRegion = opts.hotShare / (opts.hotShare + otherShare);
   const callers: CallerPicker = (rng, region) => {
-    if (region === hotRegion && uniformFloat64(rng) < inHotRegion) {
+    if (region === hotRegion && uniformFloat64(rng) < hotShareInRegion) {
       return { caller: "hot", tag: "hot" };
     }
-    return { ...evenCallers(rng, region), tag: "other" };
+    return { ...uniformCaller(rng, region), tag: "other" };
   };
   return run({
-    ...specOf(ctx, work),
+    ...baseSpecOf(ctx, workload),
     scheme: "steering",
     load: () => opts.load,
     regionShare: (region) =>
-      others + (region === hotRegion ? opts.hotShare : 0),
+      otherShare + (region === hotRegion ? opts.hotShare : 0),
     callers,
   });
 }
 
-function compared(
+function compareWithCentral(
   ctx: PatternContext,
   opts: {
     pattern: string;
     load: (now: number) => number;
     bound: number;
-    workMs?: RunSpec["workMs"];
+    serviceTimeMs?: RunSpec["serviceTimeMs"];
     seconds?: number;
   },
 ): Findings {
-  const found: Findings = { rows: [], bars: [], points: [] };
-  for (const work of ctx.work) {
+  const findings: Findings = { rows: [], checks: [], points: [] };
+  for (const workload of ctx.workloads) {
     const results = new Map<string, RunResult>();
     for (const scheme of ctx.schemes) {
-      const spec = specOf(ctx, work);
+      const spec = baseSpecOf(ctx, workload);
       const result = run({
         ...spec,
         seconds: opts.seconds ?? spec.seconds,
         scheme,
         load: opts.load,
-        ...(opts.workMs === undefined ? {} : { workMs: opts.workMs }),
+        ...(opts.serviceTimeMs === undefined
+          ? {}
+          : { serviceTimeMs: opts.serviceTimeMs }),
       });
       results.set(scheme, result);
       const { pattern } = opts;
-      const name = { pattern, service: work.service, scheme, load: "varied" };
-      found.rows.push(rowOf(name, result));
+      const name = {
+        pattern,
+        service: workload.service,
+        scheme,
+        load: "varied",
+      };
+      findings.rows.push(rowOf(name, result));
     }
-    found.bars.push({
-      name: `${work.service}: ${opts.pattern}, p99 against the central queue`,
-      value: ratio(results, (result) => result.metrics.all.quantile(99)),
+    findings.checks.push({
+      name:
+        `${workload.service}: ${opts.pattern}, p99 against the central queue`,
+      value: ratioToCentral(
+        results,
+        (result) => result.metrics.all.percentile(99),
+      ),
       bound: opts.bound,
-      sense: "at most",
+      comparison: "at most",
     }, {
-      name: `${work.service}: ${opts.pattern}, goodput against the same`,
-      value: ratio(results, (result) => result.metrics.all.goodput),
+      name: `${workload.service}: ${opts.pattern}, goodput against the same`,
+      value: ratioToCentral(results, (result) => result.metrics.all.goodput),
       bound: 0.95,
-      sense: "at least",
+      comparison: "at least",
     });
   }
-  return found;
+  return findings;
 }
 
 function steadyRun(
   ctx: PatternContext,
-  work: ServiceWork,
+  workload: ServiceWorkload,
   opts: { scheme: string; load: number },
 ): RunResult {
   return run({
-    ...specOf(ctx, work),
+    ...baseSpecOf(ctx, workload),
     scheme: opts.scheme,
     load: () => opts.load,
   });
 }
 
-/** What every run of a pattern shares. */
-export function specOf(ctx: PatternContext, work: ServiceWork) {
+/** Settings shared by all runs of a pattern. */
+export function baseSpecOf(ctx: PatternContext, workload: ServiceWorkload) {
   return {
     deployment: ctx.deployment,
     seed: ctx.seed,
-    services: [work],
+    workloads: [workload],
     seconds: ctx.quick ? 12 : 20,
   };
 }
 
-function ratio(
+function ratioToCentral(
   results: ReadonlyMap<string, RunResult>,
-  figure: (result: RunResult) => number,
+  metric: (result: RunResult) => number,
 ): number {
-  return figure(results.get("steering")!) / figure(results.get("central")!);
+  return metric(results.get("steering")!) / metric(results.get("central")!);
 }
 
-function steadyBars(
-  work: ServiceWork,
+function steadyChecks(
+  workload: ServiceWorkload,
   p99: ReadonlyMap<string, number>,
-): Bar[] {
+): Check[] {
   return [[0.8, 1.3], [0.95, 2]].map(([load, bound]) => ({
-    name: `${work.service}: p99 at ${load} load against the central queue`,
+    name: `${workload.service}: p99 at ${load} load against the central queue`,
     value: p99.get(`steering ${load}`)! / p99.get(`central ${load}`)!,
     bound: bound!,
-    sense: "at most",
+    comparison: "at most",
   }));
 }
 
-/** Headroom of ours as a share of the central queue's. */
-function headroomBars(
-  work: ServiceWork,
-  found: { loads: readonly number[]; p99: ReadonlyMap<string, number> },
-): Bar[] {
-  const limit = found.p99.get(`central ${CALM}`)! * HEADROOM_P99;
+/** Headroom of `steering` relative to that of the central queue. */
+function headroomChecks(
+  workload: ServiceWorkload,
+  results: { loads: readonly number[]; p99: ReadonlyMap<string, number> },
+): Check[] {
+  const maxP99Ms = results.p99.get(`central ${REFERENCE_LOAD}`)! *
+    HEADROOM_P99_FACTOR;
   const headroom = (scheme: string): number =>
     Math.max(
       0,
-      ...found.loads.filter((load) =>
-        found.p99.get(`${scheme} ${load}`)! <= limit
+      ...results.loads.filter((load) =>
+        results.p99.get(`${scheme} ${load}`)! <= maxP99Ms
       ),
     );
   return [{
-    name: `${work.service}: headroom, load at which p99 passes ${
-      limit.toFixed(0)
+    name: `${workload.service}: headroom, load at which p99 passes ${
+      maxP99Ms.toFixed(0)
     } ms, against the central queue's`,
     value: headroom("steering") / headroom("central"),
     bound: 0.9,
-    sense: "at least",
+    comparison: "at least",
   }];
 }
 
-function saturationBars(
-  work: ServiceWork,
+function saturationChecks(
+  workload: ServiceWorkload,
   results: ReadonlyMap<string, RunResult>,
-): Bar[] {
-  const first = firstClass(results.get("steering")!);
+): Check[] {
+  const topClass = highestClass(results.get("steering")!);
   const served = (scheme: string): number =>
-    results.get(scheme)!.metrics.byClass.get(first)?.goodput ?? 0;
+    results.get(scheme)!.metrics.byClass.get(topClass)?.goodput ?? 0;
   return [{
-    name: `${work.service}: goodput at twice saturation against the same`,
-    value: ratio(results, (result) => result.metrics.all.goodput),
+    name: `${workload.service}: goodput at twice saturation against the same`,
+    value: ratioToCentral(results, (result) => result.metrics.all.goodput),
     bound: 0.95,
-    sense: "at least",
+    comparison: "at least",
   }, {
-    name: `${work.service}: first class (${first}) at twice saturation, served`,
+    name:
+      `${workload.service}: first class (${topClass}) at twice saturation, served`,
     value: served("steering") / served("central"),
     bound: 0.99,
-    sense: "at least",
+    comparison: "at least",
   }];
 }
 
-function firstClass(result: RunResult): string {
+function highestClass(result: RunResult): string {
   const { policy } = result.world.deployment;
   const seen = policy.classes.filter(({ id }) =>
     result.metrics.byClass.has(id)
@@ -303,10 +327,10 @@
   return seen.sort((a, b) => a.rank - b.rank)[0]!.id;
 }
 
-function pointOf(work: ServiceWork, row: Row, load: number): Point {
+function pointOf(workload: ServiceWorkload, row: Row, load: number): Point {
   return {
-    plot: `p99 by load, ${work.service} (mean work ${
-      meanMs(work).toFixed(0)
+    plot: `p99 by load, ${workload.service} (mean work ${
+      meanMs(workload).toFixed(0)
     } ms)`,
     series: row.scheme,
     x: load,
--- a/packages/bench/src/decisions/plots.ts
+++ b/packages/bench/src/decisions/plots.ts
@@ -1,5 +1,5 @@
 /**
- * Plots of a report, as SVG by vega.
+ * Renders the plots of a report as SVG with Vega.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 import { toSvg } from "../svg.ts";
 import type { Point } from "./pattern.ts";
 
-/** Above this a point says only "far too slow", and would flatten the rest. */
-const MOST_MS = 1_500;
+/** Larger values are clipped to this, as they would flatten all others. */
+const MAX_PLOTTED_MS = 1_500;
 
-/** Writes one SVG for each plot; returns the file names. */
+/** Writes one SVG file per plot and returns the file names. */
 export async function writePlots(
   points: readonly Point[],
   opts: { dir: string; prefix: string },
@@ -21,9 +21,12 @@
   await mkdir(opts.dir, { recursive: true });
   const files: string[] = [];
   for (const plot of new Set(points.map(({ plot }) => plot))) {
-    const own = points.filter((point) => point.plot === plot);
+    const plotPoints = points.filter((point) => point.plot === plot);
     const name = `${opts.prefix}-${fileName(plot)}.svg`;
-    await writeFile(join(opts.dir, name), await toSvg(specOf(plot, own)));
+    await writeFile(
+      join(opts.dir, name),
+      await toSvg(chartSpecOf(plot, plotPoints)),
+    );
     files.push(name);
   }
   return files;
@@ -34,7 +37,7 @@
     .replace(/-$/, "");
 }
 
-function specOf(plot: string, points: readonly Point[]): vega.Spec {
+function chartSpecOf(plot: string, points: readonly Point[]): vega.Spec {
   const isLoad = plot.startsWith("p99 by load");
   return {
     $schema: "https://vega.github.io/schema/vega/v5.json",
@@ -48,7 +51,7 @@
       values: points.map(({ series, x, y }) => ({
         series,
         x,
-        y: Math.min(MOST_MS, y),
+        y: Math.min(MAX_PLOTTED_MS, y),
       })),
     }],
     scales: [
@@ -83,7 +86,7 @@
       {
         orient: "left",
         scale: "y",
-        title: `p99 in ms, cut at ${MOST_MS}`,
+        title: `p99 in ms, cut at ${MAX_PLOTTED_MS}`,
         grid: true,
       },
     ],
--- a/packages/bench/src/decisions/report.ts
+++ b/packages/bench/src/decisions/report.ts
@@ -1,18 +1,18 @@
 /**
- * Findings as text: tables for people to read, in Markdown.
+ * Formats findings as Markdown tables.
  *
  * @module
  */
 
-import { type Bar, type Findings, holds, type Row } from "./pattern.ts";
+import { type Check, type Findings, passes, type Row } from "./pattern.ts";
 
-/** One table of bars, with pass or MISS as measured. */
-export function barTable(bars: readonly Bar[]): string {
-  const lines = bars.map((bar) =>
-    `| ${bar.name} | ${figure(bar.value)} | ${bar.sense} ${
-      figure(bar.bound)
-    } | ${holds(bar) ? "pass" : "MISS"} | ${
-      bar.central === undefined ? "" : figure(bar.central)
+/** Table of checks, each with `pass` or `MISS`. */
+export function checkTable(checks: readonly Check[]): string {
+  const lines = checks.map((check) =>
+    `| ${check.name} | ${formatNumber(check.value)} | ${check.comparison} ${
+      formatNumber(check.bound)
+    } | ${passes(check) ? "pass" : "MISS"} | ${
+      check.centralValue === undefined ? "" : formatNumber(check.centralValue)
     } |`
   );
   return [
@@ -22,15 +22,15 @@
   ].join("\n");
 }
 
-/** One table of rows. */
+/** Table of rows. */
 export function rowTable(rows: readonly Row[]): string {
   const lines = rows.map((row) =>
     `| ${row.pattern} | ${row.service} | ${row.load} | ${row.scheme} | ${
-      figure(row.p50)
+      formatNumber(row.p50)
     } | ${
-      figure(row.p99)
+      formatNumber(row.p99)
     } | ${row.offered} | ${row.goodput} | ${row.refused} | ${row.unknown} | ${
-      Math.max(0, row.mostOver)
+      Math.max(0, row.maxOverSlots)
     } |`
   );
   return [
@@ -40,16 +40,16 @@
   ].join("\n");
 }
 
-/** Findings of all patterns as one. */
-export function joined(all: readonly Findings[]): Findings {
+/** Merges the findings of several patterns. */
+export function mergeFindings(all: readonly Findings[]): Findings {
   return {
     rows: all.flatMap(({ rows }) => rows),
-    bars: all.flatMap(({ bars }) => bars),
+    checks: all.flatMap(({ checks }) => checks),
     points: all.flatMap(({ points }) => points),
   };
 }
 
-function figure(value: number): string {
+function formatNumber(value: number): string {
   if (Number.isNaN(value)) return "none";
   if (!Number.isFinite(value)) return "never";
   if (Number.isInteger(value)) return `${value}`;
--- a/packages/bench/src/decisions/runs.ts
+++ b/packages/bench/src/decisions/runs.ts
@@ -1,5 +1,5 @@
 /**
- * One run: a scheme in a world under a load.
+ * Runs one scheme in a simulated environment under a given load.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import {
   type Deployment,
   meanMs,
-  type ServiceWork,
+  type ServiceWorkload,
   slotsIn,
 } from "./deployment.ts";
 import type { Metrics } from "./metrics.ts";
@@ -22,15 +22,20 @@
   pickTwoChoices,
 } from "./scheme_baselines.ts";
 import {
+  assignOwnersByHash,
   ForwardScheme,
-  ownedByHash,
   ProbeScheme,
 } from "./scheme_alternatives.ts";
 import { CentralScheme } from "./scheme_central.ts";
 import { SteeringScheme } from "./scheme_steering.ts";
-import { type CallerManners, type Load, type Scheme, World } from "./world.ts";
+import {
+  type CallerRetryPolicy,
+  type Load,
+  type Scheme,
+  World,
+} from "./world.ts";
 
-/** Ways of steering, by name. */
+/** Factories of the steering schemes, by name. */
 export const SCHEMES: Readonly<
   Record<string, (world: World, seed: number) => Scheme>
 > = {
@@ -48,27 +53,27 @@
   "hash-lending": (world, seed) =>
     new SteeringScheme(world, {
       seed,
-      variant: { plan: (plan) => ownedByHash(plan, world.vms) },
+      variant: { plan: (plan) => assignOwnersByHash(plan, world.vms) },
     }),
 };
 
-/** What a run is made of. */
+/** Specification of a run. */
 export interface RunSpec {
   readonly deployment: Deployment;
   readonly scheme: string;
   readonly seed: number;
-  readonly services?: readonly ServiceWork[];
-  /** Load as a share of all slots, by time. */
+  readonly workloads?: readonly ServiceWorkload[];
+  /** Offered load at time `now`, as a fraction of all slots. */
   readonly load: (now: number) => number;
   readonly seconds: number;
-  /** Left out of the counts at the start. */
+  /** Time at the start that is left out of the counts. */
   readonly warmUpSeconds?: number;
-  readonly manners?: CallerManners;
+  readonly retryPolicy?: CallerRetryPolicy;
   readonly callers?: CallerPicker;
-  /** Share of the load that comes from a region; a third each by default. */
+  /** Share of the load that comes from a region; equal shares by default. */
   readonly regionShare?: (region: RegionId, now: number) => number;
-  readonly workMs?: Load["workMs"];
-  /** Sets faults and events up. */
+  readonly serviceTimeMs?: Load["serviceTimeMs"];
+  /** Schedules faults and other events before the run starts. */
   readonly events?: (world: World) => void;
 }
 
@@ -78,59 +83,60 @@
   region: RegionId,
 ) => { caller: string; tag?: string };
 
-/** Time after the last request, for the longest deadline. */
+/** Time simulated after the last request: longer than the longest deadline. */
 const SETTLE_MS = 11_000;
 
-/** Callers of a region, each with the same share of the load. */
-const CALLERS = 200;
+/** Number of callers per region, each with the same share of the load. */
+const CALLERS_PER_REGION = 200;
 
-/** Even callers. */
-export function evenCallers(
+/** Picks one of a region's callers with equal probability. */
+export function uniformCaller(
   rng: RandomGenerator,
   region: RegionId,
 ): { caller: string; tag?: string } {
-  return { caller: `${region}-${uniformInt(rng, 1, CALLERS)}` };
+  return { caller: `${region}-${uniformInt(rng, 1, CALLERS_PER_REGION)}` };
 }
 
-/** Exponentially distributed work. */
-export function exponentialWork(
+/** Draws an exponentially distributed service time. */
+export function exponentialServiceTime(
   rng: RandomGenerator,
   kind: { meanMs: number },
 ): number {
   return -Math.log(1 - uniformFloat64(rng)) * kind.meanMs;
 }
 
-/** What a run gave. */
+/** Result of a run. */
 export interface RunResult {
   readonly metrics: Metrics;
-  /** Most requests at one target above its slots. */
-  readonly mostOver: number;
+  /** Highest number of requests at any target beyond its slots. */
+  readonly maxOverSlots: number;
   readonly world: World;
 }
 
-/** Runs one. */
+/** Runs a simulation to its end. */
 export function run(spec: RunSpec): RunResult {
   const { deployment, seed } = spec;
-  const regions = deployment.policy.regions.length;
+  const regionCount = deployment.policy.regions.length;
   const load: Load = {
-    rate(work, region, now) {
-      const share = spec.regionShare?.(region, now) ?? 1 / regions;
-      return spec.load(now) * share * slotsIn(deployment, work) / meanMs(work);
+    ratePerMs(workload, region, now) {
+      const share = spec.regionShare?.(region, now) ?? 1 / regionCount;
+      return spec.load(now) * share * slotsIn(deployment, workload) /
+        meanMs(workload);
     },
-    caller: spec.callers ?? evenCallers,
-    manners: spec.manners ?? "once",
-    workMs: spec.workMs ?? exponentialWork,
+    caller: spec.callers ?? uniformCaller,
+    retryPolicy: spec.retryPolicy ?? "once",
+    serviceTimeMs: spec.serviceTimeMs ?? exponentialServiceTime,
   };
   const world = new World(deployment, { load, seed });
   world.scheme = SCHEMES[spec.scheme]!(world, seed + 1);
   world.countFrom = (spec.warmUpSeconds ?? 2) * 1_000;
   world.countTo = spec.seconds * 1_000;
   spec.events?.(world);
-  world.start(spec.services ?? deployment.work);
+  world.start(spec.workloads ?? deployment.workloads);
   world.loop.runUntil(spec.seconds * 1_000 + SETTLE_MS);
-  let mostOver = 0;
+  let maxOverSlots = 0;
   for (const target of world.targets.values()) {
-    mostOver = Math.max(mostOver, target.mostOver);
+    maxOverSlots = Math.max(maxOverSlots, target.maxOverSlots);
   }
-  return { metrics: world.metrics, mostOver, world };
+  return { metrics: world.metrics, maxOverSlots, world };
 }
--- a/packages/bench/src/decisions/scheme_alternatives.ts
+++ b/packages/bench/src/decisions/scheme_alternatives.ts
@@ -1,5 +1,5 @@
 /**
- * Other ways to share few slots between many VMs, kept for comparison.
+ * Alternative schemes for sharing few slots between many VMs, for comparison.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 import { localTargets } from "./scheme_baselines.ts";
 import { type BenchRequest, hash, type Scheme, type World } from "./world.ts";
 
-/** Targets asked for their load before each request. */
+/** Number of targets whose load is probed before each request. */
 const PROBES = 2;
 
-/** Asks two targets for their requests in flight, then sends to the better. */
+/** Probes two targets for their load, then sends to the less loaded one. */
 export class ProbeScheme implements Scheme {
   readonly #world: World;
   readonly #rng: RandomGenerator;
@@ -29,16 +29,16 @@
 
   arrive(req: BenchRequest, vm: VmEntry): void {
     const targets = localTargets(this.#world, req, vm);
-    const answers: { target: FakeTarget; load: number }[] = [];
+    const probes: { target: FakeTarget; load: number }[] = [];
     for (let i = 0; i < PROBES; i++) {
       const target = targets[uniformInt(this.#rng, 0, targets.length - 1)]!;
-      const wayMs = delayMs(this.#world.deployment, vm, target.entry);
+      const oneWayMs = delayMs(this.#world.deployment, vm, target.entry);
       this.#world.metrics.messages += 2;
-      this.#world.loop.after(wayMs, () => {
+      this.#world.loop.after(oneWayMs, () => {
         const { load } = target;
-        this.#world.loop.after(wayMs, () => {
-          answers.push({ target, load });
-          if (answers.length === PROBES) this.#send(req, vm, answers);
+        this.#world.loop.after(oneWayMs, () => {
+          probes.push({ target, load });
+          if (probes.length === PROBES) this.#send(req, vm, probes);
         });
       });
     }
@@ -47,13 +47,13 @@
   #send(
     req: BenchRequest,
     vm: VmEntry,
-    answers: { target: FakeTarget; load: number }[],
+    probes: { target: FakeTarget; load: number }[],
   ): void {
-    answers.sort((a, b) => a.load - b.load);
+    probes.sort((a, b) => a.load - b.load);
     this.#world.send(req, vm, {
-      target: answers[0]!.target.entry.target,
+      target: probes[0]!.target.entry.target,
       done: (outcome) =>
-        this.#world.answer(
+        this.#world.respond(
           req,
           outcome === "answered" ? { kind: "served" } : { kind: "unknown" },
         ),
@@ -61,12 +61,12 @@
   }
 }
 
-/** Every target is one VM's alone, chosen by hash among the VMs of its region.
- * A change for plans, to be used with or without lending. */
-export function ownedByHash(plan: Plan, vms: readonly VmEntry[]): Plan {
-  const sums = new Map<TargetId, number>();
+/** Rewrites a plan so that all slots of a target belong to one VM, chosen by
+ * hash among the VMs of its region. Works with and without lending. */
+export function assignOwnersByHash(plan: Plan, vms: readonly VmEntry[]): Plan {
+  const totalSlots = new Map<TargetId, number>();
   for (const { target, slots } of plan.allotments) {
-    sums.set(target, (sums.get(target) ?? 0) + slots);
+    totalSlots.set(target, (totalSlots.get(target) ?? 0) + slots);
   }
   const seen = new Set<TargetId>();
   const allotments = plan.allotments.flatMap((row) => {
@@ -74,26 +74,28 @@
     seen.add(row.target);
     const local = vms.filter(({ region }) => region === row.region);
     const owner = local[hash(row.target) % local.length]!;
-    const slots = sums.get(row.target)!;
+    const slots = totalSlots.get(row.target)!;
     return [{ ...row, vm: owner.vm, slots, mayHold: slots }];
   });
   return { ...plan, allotments };
 }
 
+/** State of one VM for one service. `via` is the entry VM of a request. */
 interface Forwarder {
   readonly entry: VmEntry;
   readonly slots: Map<FakeTarget, number>;
   free: number;
   readonly queue: { req: BenchRequest; via: VmEntry }[];
-  /** Free slots less waiting requests of peers, as last heard. */
-  readonly heard: Map<VmId, number>;
+  /** Last reported state of each peer: its free slots, or, if none is free, its
+   * queue length negated. */
+  readonly peerFree: Map<VmId, number>;
 }
 
-/** How often VMs tell each other what is free. */
-const TELL_MS = 10;
+/** Interval at which VMs report their free slots to their peers. */
+const STATE_INTERVAL_MS = 10;
 
-/** Slots are owned as in a plan; a request that finds none free is sent on to
- * the peer that said to have most free, once. */
+/** Slots are allotted as in a plan. A request that finds no free slot is
+ * forwarded, at most once, to the peer that reported the most free slots. */
 export class ForwardScheme implements Scheme {
   readonly #world: World;
   readonly #nodes = new Map<string, Forwarder>();
@@ -111,24 +113,24 @@
       stopped: new Set(),
       previousAgeMs: 0,
     });
-    for (const work of world.deployment.work) {
+    for (const workload of world.deployment.workloads) {
       for (const entry of vms) {
         const slots = new Map<FakeTarget, number>();
         for (const row of plan.allotments) {
-          if (row.vm !== entry.vm || row.service !== work.service) continue;
+          if (row.vm !== entry.vm || row.service !== workload.service) continue;
           slots.set(world.targets.get(row.target)!, row.slots);
         }
         const free = [...slots.values()].reduce((a, b) => a + b, 0);
-        this.#nodes.set(`${work.service} ${entry.vm}`, {
+        this.#nodes.set(`${workload.service} ${entry.vm}`, {
           entry,
           slots,
           free,
           queue: [],
-          heard: new Map(),
+          peerFree: new Map(),
         });
       }
     }
-    this.#tell();
+    this.#publishState();
   }
 
   arrive(req: BenchRequest, vm: VmEntry): void {
@@ -139,7 +141,7 @@
       node.queue.push({ req, via: vm });
       return;
     }
-    node.heard.set(peer.entry.vm, node.heard.get(peer.entry.vm)! - 1);
+    node.peerFree.set(peer.entry.vm, node.peerFree.get(peer.entry.vm)! - 1);
     this.#world.message(vm, peer.entry, () => {
       if (peer.free > 0) this.#serve(peer, { req, via: vm });
       else peer.queue.push({ req, via: vm });
@@ -147,32 +149,32 @@
   }
 
   #bestPeer(req: BenchRequest, node: Forwarder): Forwarder | undefined {
-    let best: VmId | undefined;
-    let most = -node.queue.length;
-    for (const [vm, free] of node.heard) {
-      if (free <= most) continue;
-      best = vm;
-      most = free;
+    let bestPeer: VmId | undefined;
+    let mostFree = -node.queue.length;
+    for (const [vm, free] of node.peerFree) {
+      if (free <= mostFree) continue;
+      bestPeer = vm;
+      mostFree = free;
     }
-    return best && this.#nodes.get(`${req.service} ${best}`);
+    return bestPeer && this.#nodes.get(`${req.service} ${bestPeer}`);
   }
 
   #serve(
     node: Forwarder,
-    work: { req: BenchRequest; via: VmEntry },
+    queued: { req: BenchRequest; via: VmEntry },
   ): void {
     const [target] = [...node.slots].find(([, free]) => free > 0)!;
     node.slots.set(target, node.slots.get(target)! - 1);
     node.free--;
-    const back = delayMs(this.#world.deployment, node.entry, work.via);
-    this.#world.send(work.req, node.entry, {
+    const returnMs = delayMs(this.#world.deployment, node.entry, queued.via);
+    this.#world.send(queued.req, node.entry, {
       target: target.entry.target,
       done: () => {
         node.slots.set(target, node.slots.get(target)! + 1);
         node.free++;
-        const wayBack = node.entry === work.via ? 0 : back;
-        this.#world.loop.after(wayBack, () => {
-          this.#world.answer(work.req, { kind: "served" });
+        const responseDelayMs = node.entry === queued.via ? 0 : returnMs;
+        this.#world.loop.after(responseDelayMs, () => {
+          this.#world.respond(queued.req, { kind: "served" });
         });
         const next = node.queue.shift();
         if (next !== undefined) this.#serve(node, next);
@@ -180,7 +182,7 @@
     });
   }
 
-  #tell(): void {
+  #publishState(): void {
     for (const [key, node] of this.#nodes) {
       const service = key.split(" ")[0]!;
       const state = node.free > 0 ? node.free : -node.queue.length;
@@ -188,11 +190,11 @@
         if (other === node || !otherKey.startsWith(`${service} `)) continue;
         if (other.entry.region !== node.entry.region) continue;
         this.#world.message(node.entry, other.entry, () => {
-          other.heard.set(node.entry.vm, state);
+          other.peerFree.set(node.entry.vm, state);
         });
       }
     }
     if (this.#world.loop.now > this.#world.countTo) return;
-    this.#world.loop.after(TELL_MS, () => this.#tell());
+    this.#world.loop.after(STATE_INTERVAL_MS, () => this.#publishState());
   }
 }
--- a/packages/bench/src/decisions/scheme_baselines.ts
+++ b/packages/bench/src/decisions/scheme_baselines.ts
@@ -1,6 +1,6 @@
 /**
- * Ways of steering that others use, without admission: requests above a
- * target's slots queue up at the target.
+ * Common load-balancing schemes without admission control: requests beyond a
+ * target's slots queue at the target.
  *
  * @module
  */
@@ -12,16 +12,17 @@
 import type { FakeTarget } from "./fake_target.ts";
 import type { BenchRequest, Scheme, World } from "./world.ts";
 
-/** Picks one of a region's targets. */
+/** Picks one of the given targets. */
 export type Picker = (
   targets: readonly FakeTarget[],
   ctx: { vm: VmEntry; rng: RandomGenerator },
 ) => FakeTarget;
 
-/** How old a target's report on its load is when it is used. */
-const REPORT_MS = 1_000;
+/** Interval between load reports of a target; a report in use is up to this
+ * old. */
+const REPORT_INTERVAL_MS = 1_000;
 
-/** A scheme that sends each request at once to a target of the VM's region. */
+/** Sends each request immediately to a picked target of the VM's region. */
 export class PickScheme implements Scheme {
   readonly #world: World;
   readonly #rng: RandomGenerator;
@@ -39,7 +40,7 @@
     this.#world.send(req, vm, {
       target: target.entry.target,
       done: (outcome) =>
-        this.#world.answer(
+        this.#world.respond(
           req,
           outcome === "answered" ? { kind: "served" } : { kind: "unknown" },
         ),
@@ -47,7 +48,8 @@
   }
 }
 
-/** Targets of the VM's region that the lists name as serving. */
+/** A service's live targets in the VM's region, or in all regions if there are
+ * none. */
 export function localTargets(
   world: World,
   req: BenchRequest,
@@ -60,37 +62,38 @@
   return local.length > 0 ? local : all;
 }
 
-/** Any target. */
+/** Picks a random target. */
 export function pickRandom(): Picker {
   return (targets, { rng }) => targets[uniformInt(rng, 0, targets.length - 1)]!;
 }
 
-/** Each target in turn, for each VM by itself. */
+/** Round robin, kept separately by each VM. */
 export function pickRoundRobin(): Picker {
-  const turns = new Map<string, number>();
+  const positions = new Map<string, number>();
   return (targets, { vm }) => {
     const key = `${vm.vm} ${targets[0]!.entry.service}`;
-    const turn = turns.get(key) ?? 0;
-    turns.set(key, turn + 1);
-    return targets[turn % targets.length]!;
+    const position = positions.get(key) ?? 0;
+    positions.set(key, position + 1);
+    return targets[position % targets.length]!;
   };
 }
 
-/** The less loaded of two, by the targets' reports, which lag. */
+/** Picks the less loaded of two random targets by their load reports, which are
+ * up to {@link REPORT_INTERVAL_MS} old. */
 export function pickTwoChoices(world: World): Picker {
   const reports = new Map<FakeTarget, number>();
   const refresh = (): void => {
     for (const target of world.targets.values()) {
       reports.set(target, target.load);
     }
-    world.loop.after(REPORT_MS, refresh);
+    world.loop.after(REPORT_INTERVAL_MS, refresh);
   };
   refresh();
-  return twoChoices((target) => reports.get(target)!);
+  return pickLessLoaded((target) => reports.get(target)!);
 }
 
-/** The less loaded of two, by each VM's own requests in flight. */
-export function twoChoices(loadOf: (target: FakeTarget) => number): Picker {
+/** Picks the less loaded of two random targets, according to `loadOf`. */
+export function pickLessLoaded(loadOf: (target: FakeTarget) => number): Picker {
   return (targets, { rng }) => {
     const a = targets[uniformInt(rng, 0, targets.length - 1)]!;
     const b = targets[uniformInt(rng, 0, targets.length - 1)]!;
--- a/packages/bench/src/decisions/scheme_central.ts
+++ b/packages/bench/src/decisions/scheme_central.ts
@@ -1,167 +1,177 @@
 /**
- * The limit: one queue in order of class and age that knows every slot the
- * instant it falls free, at no cost of messages. No real system can have it.
+ * An ideal central queue, ordered by class and age, as an upper bound: it knows
+ * every slot the instant it becomes free, without messages. No real system can.
  *
- * It waits by the same bounds as ours. A region's slots serve its own callers
- * first; others' requests only where the wait exceeds the round trip.
+ * It limits waiting times as the steering scheme does. A region's slots serve
+ * its own callers first, and requests of other regions only where their wait
+ * exceeds the round trip.
  *
  * @module
  */
 
 import type { VmEntry } from "@poplarthread/decisions";
 import type { RegionId, ServiceId } from "@poplarthread/ids";
-import { delayMs, meanMs, type ServiceWork } from "./deployment.ts";
+import { delayMs, meanMs, type ServiceWorkload } from "./deployment.ts";
 import type { FakeTarget } from "./fake_target.ts";
 import type { BenchRequest, Scheme, World } from "./world.ts";
 
-interface Waiting {
+interface QueuedRequest {
   readonly req: BenchRequest;
   readonly vm: VmEntry;
   readonly rank: number;
   readonly since: number;
-  readonly giveUpAt: number;
+  readonly expiresAt: number;
 }
 
-interface Site {
+/** Slots and waiting requests of one service in one region. */
+interface Pool {
   readonly region: RegionId;
   readonly targets: FakeTarget[];
   readonly slots: number;
-  readonly work: ServiceWork;
-  /** Waiting requests by rank. */
-  readonly queues: Waiting[][];
+  readonly workload: ServiceWorkload;
+  /** Waiting requests by rank, oldest first. */
+  readonly queues: QueuedRequest[][];
   waiting: number;
 }
 
-/** When a refused caller is told to come back. */
-const RETRY_MS = 2_000;
+/** Retry-after time sent to refused callers. */
+const RETRY_AFTER_MS = 2_000;
 
-/** The central queue. */
+/** The ideal central queue. */
 export class CentralScheme implements Scheme {
   readonly #world: World;
-  readonly #sites = new Map<string, Site>();
-  readonly #taken = new Map<FakeTarget, number>();
+  readonly #pools = new Map<string, Pool>();
+  readonly #inFlight = new Map<FakeTarget, number>();
 
   constructor(world: World) {
     this.#world = world;
-    for (const work of world.deployment.work) {
+    for (const workload of world.deployment.workloads) {
       for (const { id: region } of world.deployment.policy.regions) {
-        this.#addSite(work, region);
+        this.#addPool(workload, region);
       }
     }
   }
 
   arrive(req: BenchRequest, vm: VmEntry): void {
-    const site = this.#site(req.service, vm.region);
+    const pool = this.#pool(req.service, vm.region);
     const cls = this.#world.deployment.policy.classes.find(({ id }) =>
       id === req.kind.class
     )!;
     const now = this.#world.loop.now;
-    const left = req.sentAt + req.kind.deadlineMs - now - req.kind.meanMs;
-    const longest = Math.min(cls.maxWaitMs, left);
-    if (this.#waitMs(site, cls.rank) > longest) {
-      this.#world.answer(req, { kind: "refused", retryAfterMs: RETRY_MS });
+    const remainingMs = req.sentAt + req.kind.deadlineMs - now -
+      req.kind.meanMs;
+    const maxWaitMs = Math.min(cls.maxWaitMs, remainingMs);
+    if (this.#waitMs(pool, cls.rank) > maxWaitMs) {
+      this.#world.respond(req, {
+        kind: "refused",
+        retryAfterMs: RETRY_AFTER_MS,
+      });
       return;
     }
-    const queue = site.queues[cls.rank] ??= [];
+    const queue = pool.queues[cls.rank] ??= [];
     queue.push({
       req,
       vm,
       rank: cls.rank,
       since: now,
-      giveUpAt: now + longest,
+      expiresAt: now + maxWaitMs,
     });
-    site.waiting++;
+    pool.waiting++;
     this.#serve(req.service);
   }
 
-  #addSite(work: ServiceWork, region: RegionId): void {
+  #addPool(workload: ServiceWorkload, region: RegionId): void {
     const targets = [...this.#world.targets.values()].filter(({ entry }) =>
-      entry.service === work.service && entry.region === region
+      entry.service === workload.service && entry.region === region
     );
     for (const target of targets) {
-      this.#taken.set(target, 0);
+      this.#inFlight.set(target, 0);
     }
-    this.#sites.set(`${work.service} ${region}`, {
+    this.#pools.set(`${workload.service} ${region}`, {
       region,
       targets,
-      slots: targets.length * work.slotsPerTarget,
-      work,
+      slots: targets.length * workload.slotsPerTarget,
+      workload,
       queues: [],
       waiting: 0,
     });
   }
 
-  #site(service: ServiceId, region: RegionId): Site {
-    return this.#sites.get(`${service} ${region}`)!;
+  #pool(service: ServiceId, region: RegionId): Pool {
+    return this.#pools.get(`${service} ${region}`)!;
   }
 
-  #waitMs(site: Site, rank: number): number {
+  /** Estimated wait behind all requests of this rank and more urgent ones. */
+  #waitMs(pool: Pool, rank: number): number {
     let ahead = 0;
-    for (let r = 0; r <= rank; r++) ahead += site.queues[r]?.length ?? 0;
-    return ahead * meanMs(site.work) / Math.max(1, this.#liveSlots(site));
+    for (let r = 0; r <= rank; r++) ahead += pool.queues[r]?.length ?? 0;
+    return ahead * meanMs(pool.workload) / Math.max(1, this.#liveSlots(pool));
   }
 
-  #liveSlots(site: Site): number {
-    return this.#world.isLost(site.region) ? 0 : site.slots;
+  #liveSlots(pool: Pool): number {
+    return this.#world.isLost(pool.region) ? 0 : pool.slots;
   }
 
   #serve(service: ServiceId): void {
     for (const { id: region } of this.#world.deployment.policy.regions) {
-      const site = this.#site(service, region);
-      while (site.waiting > 0 && this.#serveOne(site));
+      const pool = this.#pool(service, region);
+      while (pool.waiting > 0 && this.#serveOne(pool));
     }
   }
 
-  #serveOne(site: Site): boolean {
-    const next = this.#head(site);
+  #serveOne(pool: Pool): boolean {
+    const next = this.#head(pool);
     if (next === undefined) return false;
-    const target = this.#freeTarget(site, next.vm) ??
-      this.#remoteTarget(site, next);
+    const target = this.#freeTarget(pool, next.vm) ??
+      this.#remoteTarget(pool, next);
     if (target === undefined) return false;
-    site.queues[next.rank]!.shift();
-    site.waiting--;
+    pool.queues[next.rank]!.shift();
+    pool.waiting--;
     this.#dispatch(next, target);
     return true;
   }
 
-  #head(site: Site): Waiting | undefined {
-    for (const queue of site.queues) {
+  /** The next request to serve; refuses those that have waited too long. */
+  #head(pool: Pool): QueuedRequest | undefined {
+    for (const queue of pool.queues) {
       while (queue !== undefined && queue.length > 0) {
         const head = queue[0]!;
-        if (head.giveUpAt > this.#world.loop.now) return head;
+        if (head.expiresAt > this.#world.loop.now) return head;
         queue.shift();
-        site.waiting--;
-        this.#world.answer(head.req, {
+        pool.waiting--;
+        this.#world.respond(head.req, {
           kind: "refused",
-          retryAfterMs: RETRY_MS,
+          retryAfterMs: RETRY_AFTER_MS,
         });
       }
     }
     return undefined;
   }
 
-  #freeTarget(site: Site, vm: VmEntry): FakeTarget | undefined {
+  /** The target with a free slot that is least slowed down, then nearest. */
+  #freeTarget(pool: Pool, vm: VmEntry): FakeTarget | undefined {
     let best: FakeTarget | undefined;
     let bestMs = Number.POSITIVE_INFINITY;
-    for (const target of site.targets) {
-      const { dead, leaving, silent, slowness } = target.faults;
-      if (dead || leaving || silent) continue;
-      if (this.#taken.get(target)! >= target.slots) continue;
-      const ms = delayMs(this.#world.deployment, vm, target.entry) +
-        slowness * 1_000;
-      if (ms >= bestMs) continue;
+    for (const target of pool.targets) {
+      const { dead, leaving, unresponsive, slowdown } = target.faults;
+      if (dead || leaving || unresponsive) continue;
+      if (this.#inFlight.get(target)! >= target.slots) continue;
+      const costMs = delayMs(this.#world.deployment, vm, target.entry) +
+        slowdown * 1_000;
+      if (costMs >= bestMs) continue;
       best = target;
-      bestMs = ms;
+      bestMs = costMs;
     }
     return best;
   }
 
-  #remoteTarget(site: Site, next: Waiting): FakeTarget | undefined {
-    const roundTrip = 2 * this.#world.deployment.regionMs;
-    const wait = this.#waitMs(site, site.queues.length - 1);
-    if (wait < roundTrip) return undefined;
-    for (const other of this.#sites.values()) {
-      if (other === site || other.work !== site.work) continue;
+  /** A target in another region, if the wait here exceeds the round trip. */
+  #remoteTarget(pool: Pool, next: QueuedRequest): FakeTarget | undefined {
+    const roundTripMs = 2 * this.#world.deployment.crossRegionDelayMs;
+    const waitMs = this.#waitMs(pool, pool.queues.length - 1);
+    if (waitMs < roundTripMs) return undefined;
+    for (const other of this.#pools.values()) {
+      if (other === pool || other.workload !== pool.workload) continue;
       if (other.waiting > 0 || this.#world.isLost(other.region)) continue;
       const target = this.#freeTarget(other, next.vm);
       if (target !== undefined) return target;
@@ -169,17 +179,17 @@
     return undefined;
   }
 
-  #dispatch(next: Waiting, target: FakeTarget): void {
+  #dispatch(next: QueuedRequest, target: FakeTarget): void {
     const { req, vm } = next;
-    this.#taken.set(target, this.#taken.get(target)! + 1);
+    this.#inFlight.set(target, this.#inFlight.get(target)! + 1);
     this.#world.send(req, vm, {
       target: target.entry.target,
-      atTarget: () => {
-        this.#taken.set(target, this.#taken.get(target)! - 1);
+      onJobEnd: () => {
+        this.#inFlight.set(target, this.#inFlight.get(target)! - 1);
         this.#serve(req.service);
       },
       done: (outcome) =>
-        this.#world.answer(
+        this.#world.respond(
           req,
           outcome === "answered" ? { kind: "served" } : { kind: "unknown" },
         ),
--- a/packages/bench/src/decisions/scheme_steering.ts
+++ b/packages/bench/src/decisions/scheme_steering.ts
@@ -1,6 +1,6 @@
 /**
- * The production decisions, one `Steering` per VM, joined by messages with the
- * delays of the deployment.
+ * The production decisions: one `Steering` per VM, connected by messages with
+ * the deployment's network delays.
  *
  * @module
  */
@@ -20,38 +20,42 @@
 } from "@poplarthread/decisions";
 import { id, type RequestId, type VmId } from "@poplarthread/ids";
 import type { JobOutcome } from "./fake_target.ts";
-import type { BenchRequest, Scheme, Sending, World } from "./world.ts";
+import type { AttemptHandle, BenchRequest, Scheme, World } from "./world.ts";
 
-/** Time between two plans, which also renews them. */
+/** Interval between plans. Each plan also renews the allotments of the one
+ * before it. */
 const PLAN_MS = 1_000;
-/** Time for a plan or a drain to be known everywhere. */
-const SPREAD_MS = 500;
-/** Taken off a loan for the message's way, as an escrow would. */
+/** Time for a plan, a drain or a change of the VM or target list to reach all
+ * VMs. */
+const PROPAGATION_MS = 500;
+/** Subtracted from the duration of a loan to allow for the delay of its
+ * message: the borrower must stop using the slots before the lender takes them
+ * back. */
 const LOAN_MARGIN_MS = 1_000;
 
 interface Node {
   readonly entry: VmEntry;
   readonly steering: Steering;
-  readonly requests: Map<RequestId, Pending>;
+  readonly requests: Map<RequestId, PendingRequest>;
   tickAt: number;
-  applied: number;
+  appliedSequence: number;
   appliedAt: number;
 }
 
-interface Pending {
+interface PendingRequest {
   readonly req: BenchRequest;
-  readonly sendings: Map<number, Sending>;
+  readonly attempts: Map<number, AttemptHandle>;
 }
 
-/** How this scheme may be varied for comparison. */
+/** Variations of the scheme for comparison. */
 export interface SteeringVariant {
-  /** Changes a plan before it is handed out. */
+  /** Transforms each plan before it is published. */
   readonly plan?: (plan: Plan) => Plan;
-  /** False: peers' questions are not passed on. */
+  /** If false, requests to peers for slots are not delivered. */
   readonly lending?: boolean;
 }
 
-/** Our scheme. */
+/** The production steering scheme. */
 export class SteeringScheme implements Scheme {
   readonly #world: World;
   readonly #nodes = new Map<VmId, Node>();
@@ -78,20 +82,20 @@
         }),
         requests: new Map(),
         tickAt: Number.POSITIVE_INFINITY,
-        applied: 0,
+        appliedSequence: 0,
         appliedAt: 0,
       });
     }
-    this.#tellAll({ kind: "vms", vms: this.#vms });
-    this.#tellAll({ kind: "targets", targets: this.#targets });
+    this.#deliverToAll({ kind: "vms", vms: this.#vms });
+    this.#deliverToAll({ kind: "targets", targets: this.#targets });
     this.#makePlan(0);
   }
 
   arrive(req: BenchRequest, vm: VmEntry): void {
     const node = this.#nodes.get(vm.vm)!;
     const request = id<RequestId>(`${req.id}-${req.tries}`);
-    node.requests.set(request, { req, sendings: new Map() });
-    this.#tell(node, {
+    node.requests.set(request, { req, attempts: new Map() });
+    this.#deliver(node, {
       kind: "arrive",
       request,
       caller: id(req.caller),
@@ -104,24 +108,25 @@
 
   targetsChanged(targets: readonly TargetEntry[]): void {
     this.#targets = targets;
-    this.#later({ kind: "targets", targets });
+    this.#deliverToAllLater({ kind: "targets", targets });
   }
 
   vmsChanged(vms: readonly VmEntry[]): void {
     this.#vms = vms;
-    this.#later({ kind: "vms", vms });
+    this.#deliverToAllLater({ kind: "vms", vms });
   }
 
   drain(drains: Drains): void {
-    this.#later(drains);
+    this.#deliverToAllLater(drains);
   }
 
-  /** Tells every VM at once, as each of them sees it for itself. */
-  tellEach(event: SteeringEvent): void {
-    this.#tellAll(event);
+  /** Delivers an event to every VM at once, as if each observed it itself. */
+  notifyAll(event: SteeringEvent): void {
+    this.#deliverToAll(event);
   }
 
-  /** From now on measured demand only grows older. */
+  /** Stops measuring: from now on, demand is passed to planning with a growing
+   * age. */
   stopMeasuring(): void {
     this.#stoppedAt = this.#now;
   }
@@ -130,17 +135,17 @@
     return this.#world.loop.now;
   }
 
-  #later(event: SteeringEvent): void {
-    this.#world.loop.after(SPREAD_MS, () => this.#tellAll(event));
+  #deliverToAllLater(event: SteeringEvent): void {
+    this.#world.loop.after(PROPAGATION_MS, () => this.#deliverToAll(event));
   }
 
-  #tellAll(event: SteeringEvent): void {
+  #deliverToAll(event: SteeringEvent): void {
     for (const node of this.#nodes.values()) {
-      if (!this.#world.isLost(node.entry.region)) this.#tell(node, event);
+      if (!this.#world.isLost(node.entry.region)) this.#deliver(node, event);
     }
   }
 
-  #makePlan(spreadMs: number): void {
+  #makePlan(propagationMs: number): void {
     const plan = nextPlan({
       policy: this.#world.deployment.policy,
       revision: 1,
@@ -154,11 +159,11 @@
     });
     this.plan = plan;
     this.#planAt = this.#now;
-    const handedOut = this.#variant.plan?.(plan) ?? plan;
-    const event: SteeringEvent = { kind: "plan", plan: handedOut };
-    if (spreadMs === 0) this.#tellAll(event);
-    else this.#later(event);
-    this.#world.loop.after(PLAN_MS, () => this.#makePlan(SPREAD_MS));
+    const publishedPlan = this.#variant.plan?.(plan) ?? plan;
+    const event: SteeringEvent = { kind: "plan", plan: publishedPlan };
+    if (propagationMs === 0) this.#deliverToAll(event);
+    else this.#deliverToAllLater(event);
+    this.#world.loop.after(PLAN_MS, () => this.#makePlan(PROPAGATION_MS));
   }
 
   #demand(): MeasuredDemand[] {
@@ -177,16 +182,16 @@
   #confirmations(): Confirmation[] {
     return [...this.#nodes.values()].map((node) => ({
       vm: node.entry.vm,
-      sequence: node.applied,
+      sequence: node.appliedSequence,
       ageMs: this.#world.isLost(node.entry.region)
         ? this.#now - node.appliedAt
         : 0,
     }));
   }
 
-  #tell(node: Node, event: SteeringEvent): void {
+  #deliver(node: Node, event: SteeringEvent): void {
     const effects = node.steering.handle(event, this.#now);
-    for (const effect of effects) this.#carryOut(node, effect);
+    for (const effect of effects) this.#execute(node, effect);
     this.#setTick(node);
   }
 
@@ -198,11 +203,11 @@
     this.#world.loop.after(due - this.#now, () => {
       if (node.tickAt !== due) return;
       node.tickAt = Number.POSITIVE_INFINITY;
-      this.#tell(node, { kind: "tick" });
+      this.#deliver(node, { kind: "tick" });
     });
   }
 
-  #carryOut(node: Node, effect: Effect): void {
+  #execute(node: Node, effect: Effect): void {
     switch (effect.kind) {
       case "dispatch":
       case "hedge":
@@ -240,7 +245,7 @@
         });
         return;
       case "plan-applied":
-        node.applied = effect.sequence;
+        node.appliedSequence = effect.sequence;
         node.appliedAt = this.#now;
         return;
       case "belief-changed":
@@ -262,33 +267,34 @@
     const pending = node.requests.get(effect.request)!;
     const { attempt, request, target } = effect;
     const done = (outcome: JobOutcome): void => {
-      pending.sendings.delete(attempt);
+      pending.attempts.delete(attempt);
       if (outcome === "answered") this.#served(node, request, pending);
-      this.#tell(node, {
+      this.#deliver(node, {
         kind: "ended",
         request,
         attempt,
         outcome: outcomeOf(outcome),
       });
     };
-    pending.sendings.set(
+    pending.attempts.set(
       attempt,
       this.#world.send(pending.req, node.entry, { target, done }),
     );
-    if (effect.kind === "dispatch") this.#stopAtDeadline(node, effect);
+    if (effect.kind === "dispatch") this.#cancelAtDeadline(node, effect);
   }
 
-  /** The daemon's timer: an attempt is broken off at the request's deadline. */
-  #stopAtDeadline(node: Node, effect: Effect & { kind: "dispatch" }): void {
+  /** Cancels an attempt at the request's deadline, like the daemon's timer. */
+  #cancelAtDeadline(node: Node, effect: Effect & { kind: "dispatch" }): void {
     const { request, attempt } = effect;
     const pending = node.requests.get(request)!;
-    const left = pending.req.kind.deadlineMs - (this.#now - pending.req.sentAt);
-    this.#world.loop.after(Math.max(0, left), () => {
-      const sending = pending.sendings.get(attempt);
-      if (sending === undefined) return;
-      pending.sendings.delete(attempt);
-      sending.cancel();
-      this.#tell(node, {
+    const remainingMs = pending.req.kind.deadlineMs -
+      (this.#now - pending.req.sentAt);
+    this.#world.loop.after(Math.max(0, remainingMs), () => {
+      const handle = pending.attempts.get(attempt);
+      if (handle === undefined) return;
+      pending.attempts.delete(attempt);
+      handle.cancel();
+      this.#deliver(node, {
         kind: "ended",
         request,
         attempt,
@@ -299,12 +305,12 @@
 
   #cancel(node: Node, effect: Effect & { kind: "cancel" }): void {
     const { request, attempt } = effect;
-    const sending = node.requests.get(request)?.sendings.get(attempt);
-    if (sending === undefined) return;
-    node.requests.get(request)!.sendings.delete(attempt);
-    sending.cancel();
+    const handle = node.requests.get(request)?.attempts.get(attempt);
+    if (handle === undefined) return;
+    node.requests.get(request)!.attempts.delete(attempt);
+    handle.cancel();
     this.#world.loop.after(0, () => {
-      this.#tell(node, {
+      this.#deliver(node, {
         kind: "ended",
         request,
         attempt,
@@ -313,14 +319,14 @@
     });
   }
 
-  #served(node: Node, request: RequestId, pending: Pending): void {
-    this.#world.answer(pending.req, { kind: "served" });
+  #served(node: Node, request: RequestId, pending: PendingRequest): void {
+    this.#world.respond(pending.req, { kind: "served" });
     node.requests.set(request, pending);
   }
 
   #refuse(node: Node, effect: Effect & { kind: "refuse" }): void {
     const { req } = node.requests.get(effect.request)!;
-    this.#world.answer(
+    this.#world.respond(
       req,
       effect.notRun
         ? { kind: "refused", retryAfterMs: effect.retryAfterMs }
@@ -331,7 +337,11 @@
   #message(node: Node, to: VmId, event: SteeringEvent): void {
     const peer = this.#nodes.get(to);
     if (peer === undefined) return;
-    this.#world.message(node.entry, peer.entry, () => this.#tell(peer, event));
+    this.#world.message(
+      node.entry,
+      peer.entry,
+      () => this.#deliver(peer, event),
+    );
   }
 }
 
--- a/packages/bench/src/decisions/world.ts
+++ b/packages/bench/src/decisions/world.ts
@@ -1,5 +1,6 @@
 /**
- * The small world that a scheme is measured in: callers, delays, targets.
+ * Simulated environment in which a scheme is measured: callers, network delays
+ * and targets.
  *
  * @module
  */
@@ -10,87 +11,90 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import {
-  CALLER_MS,
+  CALLER_DELAY_MS,
   delayMs,
   type Deployment,
-  type ServiceWork,
-  type WorkKind,
+  type RequestKind,
+  type ServiceWorkload,
 } from "./deployment.ts";
 import { EventLoop } from "./event_loop.ts";
 import { FakeTarget, type Job, type JobOutcome } from "./fake_target.ts";
 import { Metrics } from "./metrics.ts";
 
-/** One request in the world. */
+/** A simulated request. */
 export interface BenchRequest {
   readonly id: number;
   readonly caller: string;
   readonly service: ServiceId;
-  readonly kind: WorkKind;
-  readonly workMs: number;
-  /** When its caller sent it first. */
+  readonly kind: RequestKind;
+  readonly serviceTimeMs: number;
+  /** Time at which its caller first sent it. */
   readonly sentAt: number;
   readonly tag: string | undefined;
   readonly region: RegionId;
-  /** One-way delay between its caller and the VM it was sent to. */
-  callerMs: number;
+  /** One-way delay between its caller and the VM that it was last sent to. */
+  callerDelayMs: number;
+  /** Times that its caller has sent it. */
   tries: number;
   ended: boolean;
-  /** Target of its last attempt. */
+  /** Target of the most recent attempt. */
   target: TargetId | undefined;
 }
 
-/** How a request ends for its caller. */
-export type Answer =
+/** Outcome of a request as its caller sees it. */
+export type RequestOutcome =
   | { readonly kind: "served" }
   | { readonly kind: "refused"; readonly retryAfterMs: number }
   | { readonly kind: "unknown" };
 
-/** One way of steering, measured in a world. */
+/** A request-steering scheme under test. */
 export interface Scheme {
-  /** A request came to an entry VM. */
+  /** Handles a request that arrived at the entry VM `vm`. */
   arrive(req: BenchRequest, vm: VmEntry): void;
-  /** What operators and the platform say, where the scheme listens. */
+  /** Changes announced by operators and the platform; optional, since some
+   * schemes ignore them. */
   targetsChanged?(targets: readonly TargetEntry[]): void;
   vmsChanged?(vms: readonly VmEntry[]): void;
   drainZone?(zone: string): void;
 }
 
-/** A running attempt. */
-export interface Sending {
+/** Handle of an attempt in flight. */
+export interface AttemptHandle {
   cancel(): void;
 }
 
-/** How callers behave when refused. */
-export type CallerManners =
-  /** They give up. */
+/** What callers do when a request is refused. */
+export type CallerRetryPolicy =
+  /** Give up. */
   | "once"
-  /** They come back when told, as often as their deadline allows. */
+  /** Retry after the given retry-after time, until the deadline or
+   * {@link MAX_TRIES}. */
   | "polite"
-  /** They come back after 100 ms, whatever they were told. */
+  /** Retry after {@link STORM_RETRY_DELAY_MS}, ignoring retry-after. */
   | "storm";
 
-/** What is sent, and how. */
+/** Load that callers generate. */
 export interface Load {
-  /** Requests a millisecond at time `now`, for a service from a region. */
-  rate(work: ServiceWork, region: RegionId, now: number): number;
-  /** The caller of the next request, and its tag. */
+  /** Requests per millisecond at time `now` from a region to a service. */
+  ratePerMs(workload: ServiceWorkload, region: RegionId, now: number): number;
+  /** Picks the caller of the next request, and the tag it is counted under. */
   caller(
     rng: RandomGenerator,
     region: RegionId,
   ): { caller: string; tag?: string };
-  readonly manners: CallerManners;
-  /** Time at a target of a kind, in ms. */
-  workMs(rng: RandomGenerator, kind: WorkKind): number;
+  readonly retryPolicy: CallerRetryPolicy;
+  /** Draws the service time of a request of this kind at a target. */
+  serviceTimeMs(rng: RandomGenerator, kind: RequestKind): number;
 }
 
-/** When a storming caller comes back. */
-const STORM_MS = 100;
-/** How long a caller keeps a look-up's answer. */
-const LOOKUP_MS = 10_000;
-/** Longest that callers keep trying. */
-const MOST_TRIES = 10;
+/** Retry delay of callers with the retry policy `storm`. */
+const STORM_RETRY_DELAY_MS = 100;
+/** Time for which a caller caches a look-up response. */
+const LOOKUP_CACHE_TTL_MS = 10_000;
+/** Maximum number of times that a caller sends one request. */
+const MAX_TRIES = 10;
 
-/** World of one run. */
+/** Simulated environment of one run. */
 export class World {
   readonly loop = new EventLoop();
   readonly metrics = new Metrics();
@@ -98,17 +102,18 @@
   vms: readonly VmEntry[];
   readonly deployment: Deployment;
   scheme: Scheme | undefined;
-  /** Tags a request at its end, in place of its caller's tag. */
+  /** Chooses a request's tag when it ends, instead of its caller's tag. */
   tagOf: ((req: BenchRequest) => string | undefined) | undefined;
-  /** Requests first sent within these times are counted. */
+  /** Requests first sent in [countFrom, countTo) are counted; goodput counts
+   * requests whose outcome arrives in that period. */
   countFrom = 0;
   countTo = Number.POSITIVE_INFINITY;
   readonly #load: Load;
-  readonly #arrivals: RandomGenerator;
-  #ids = 0;
+  readonly #arrivalRng: RandomGenerator;
+  #nextId = 0;
   #regionLoad = new Map<string, number>();
   readonly #regionSlots = new Map<string, number>();
-  readonly #lost = new Set<RegionId>();
+  readonly #lostRegions = new Set<RegionId>();
 
   constructor(
     deployment: Deployment,
@@ -117,84 +122,85 @@
     this.deployment = deployment;
     this.vms = deployment.vms;
     this.#load = opts.load;
-    this.#arrivals = xoroshiro128plus(opts.seed);
+    this.#arrivalRng = xoroshiro128plus(opts.seed);
     for (const entry of deployment.targets) {
-      const work = deployment.work.find(({ service }) =>
+      const workload = deployment.workloads.find(({ service }) =>
         service === entry.service
       )!;
-      const target = new FakeTarget(this.loop, entry, work.slotsPerTarget);
+      const target = new FakeTarget(this.loop, entry, workload.slotsPerTarget);
       this.targets.set(entry.target, target);
       const key = `${entry.service} ${entry.region}`;
       const slots = this.#regionSlots.get(key) ?? 0;
-      this.#regionSlots.set(key, slots + work.slotsPerTarget);
+      this.#regionSlots.set(key, slots + workload.slotsPerTarget);
     }
   }
 
-  /** Starts the callers. */
-  start(services: readonly ServiceWork[]): void {
-    for (const work of services) {
+  /** Starts generating requests. */
+  start(workloads: readonly ServiceWorkload[]): void {
+    for (const workload of workloads) {
       for (const { id: region } of this.deployment.policy.regions) {
-        this.#nextArrival(work, region);
+        this.#nextArrival(workload, region);
       }
     }
   }
 
-  /** Region whose VMs, targets and network are gone. */
+  /** Fails a region: its VMs, targets and network stop working. */
   loseRegion(region: RegionId): void {
-    this.#lost.add(region);
+    this.#lostRegions.add(region);
     for (const target of this.targets.values()) {
       if (target.entry.region === region) target.kill();
     }
   }
 
   isLost(region: RegionId): boolean {
-    return this.#lost.has(region);
+    return this.#lostRegions.has(region);
   }
 
-  /** Sends a request to a target; `done` is called back at the VM. */
+  /** Sends a request to a target; `done` runs when the VM gets the outcome. */
   send(
     req: BenchRequest,
     vm: VmEntry,
     ctx: {
       target: TargetId;
       done: (outcome: JobOutcome) => void;
-      /** Called at the target the instant it is done, for who knows all. */
-      atTarget?: () => void;
+      /** Called the instant the job ends at the target, without network delay:
+       * for schemes with perfect knowledge. */
+      onJobEnd?: () => void;
     },
-  ): Sending {
+  ): AttemptHandle {
     const target = this.targets.get(ctx.target)!;
-    const wayMs = delayMs(this.deployment, vm, target.entry);
+    const oneWayMs = delayMs(this.deployment, vm, target.entry);
     this.metrics.attempts++;
     req.target = ctx.target;
     let cancelled = false;
     const job: Job = {
-      workMs: req.workMs,
+      serviceTimeMs: req.serviceTimeMs,
       state: "queued",
       done: (outcome) => {
-        this.#count(target, -1);
-        ctx.atTarget?.();
-        this.loop.after(wayMs, () => {
+        this.#addLoad(target, -1);
+        ctx.onJobEnd?.();
+        this.loop.after(oneWayMs, () => {
           if (!cancelled) ctx.done(outcome);
         });
       },
     };
-    this.loop.after(wayMs, () => {
-      this.#count(target, 1);
-      target.take(job);
+    this.loop.after(oneWayMs, () => {
+      this.#addLoad(target, 1);
+      target.submit(job);
     });
     return {
       cancel: () => {
         cancelled = true;
-        this.loop.after(wayMs, () => {
+        this.loop.after(oneWayMs, () => {
           if (job.state === "ended") return;
-          this.#count(target, -1);
+          this.#addLoad(target, -1);
           target.cancel(job);
         });
       },
     };
   }
 
-  /** A message between entry VMs. */
+  /** Sends a message between entry VMs; `run` runs at the receiver. */
   message(from: VmEntry, to: VmEntry, run: () => void): void {
     this.metrics.messages++;
     this.loop.after(delayMs(this.deployment, from, to), () => {
@@ -202,19 +208,19 @@
     });
   }
 
-  /** Gives a request its final answer. */
-  answer(req: BenchRequest, answer: Answer): void {
+  /** Sends a request's outcome to its caller. */
+  respond(req: BenchRequest, outcome: RequestOutcome): void {
     if (req.ended) return;
-    this.loop.after(req.callerMs, () => this.#answered(req, answer));
+    this.loop.after(req.callerDelayMs, () => this.#onOutcome(req, outcome));
   }
 
-  #answered(req: BenchRequest, answer: Answer): void {
+  #onOutcome(req: BenchRequest, outcome: RequestOutcome): void {
     if (req.ended) return;
-    const took = this.loop.now - req.sentAt;
-    const isLate = took > req.kind.deadlineMs;
-    if (answer.kind === "refused" && this.#comesBack(req, answer)) return;
+    const latencyMs = this.loop.now - req.sentAt;
+    const isLate = latencyMs > req.kind.deadlineMs;
+    if (outcome.kind === "refused" && this.#scheduleRetry(req, outcome)) return;
     req.ended = true;
-    const isServed = answer.kind === "served" && !isLate;
+    const isServed = outcome.kind === "served" && !isLate;
     if (isServed && this.#isCounted(this.loop.now)) {
       for (const tally of this.metrics.tallies(req.kind.class, req.tag)) {
         tally.goodput++;
@@ -224,56 +230,59 @@
     const window = this.metrics.window(req.sentAt);
     if (isServed) {
       window.served++;
-      window.latencies.push(took);
+      window.latencies.push(latencyMs);
     } else window.refused++;
     const tag = this.tagOf?.(req) ?? req.tag;
     for (const tally of this.metrics.tallies(req.kind.class, tag)) {
-      if (isServed) tally.record(took);
-      else if (answer.kind === "unknown") tally.unknown++;
+      if (isServed) tally.record(latencyMs);
+      else if (outcome.kind === "unknown") tally.unknown++;
       else tally.refused++;
     }
   }
 
-  #comesBack(
+  #scheduleRetry(
     req: BenchRequest,
-    answer: { retryAfterMs: number },
+    outcome: { retryAfterMs: number },
   ): boolean {
-    const { manners } = this.#load;
-    if (manners === "once" || req.tries >= MOST_TRIES) return false;
-    const wait = manners === "storm" ? STORM_MS : answer.retryAfterMs;
-    if (this.loop.now + wait - req.sentAt > req.kind.deadlineMs) return false;
-    this.loop.after(wait, () => this.#submit(req));
+    const { retryPolicy } = this.#load;
+    if (retryPolicy === "once" || req.tries >= MAX_TRIES) return false;
+    const waitMs = retryPolicy === "storm"
+      ? STORM_RETRY_DELAY_MS
+      : outcome.retryAfterMs;
+    if (this.loop.now + waitMs - req.sentAt > req.kind.deadlineMs) return false;
+    this.loop.after(waitMs, () => this.#submit(req));
     return true;
   }
 
-  #nextArrival(work: ServiceWork, region: RegionId): void {
+  #nextArrival(workload: ServiceWorkload, region: RegionId): void {
     if (this.loop.now >= this.countTo) return;
-    const rate = this.#load.rate(work, region, this.loop.now);
-    if (rate <= 0) {
-      this.loop.after(10, () => this.#nextArrival(work, region));
+    const ratePerMs = this.#load.ratePerMs(workload, region, this.loop.now);
+    if (ratePerMs <= 0) {
+      this.loop.after(10, () => this.#nextArrival(workload, region));
       return;
     }
-    const gap = -Math.log(1 - uniformFloat64(this.#arrivals)) / rate;
-    this.loop.after(gap, () => {
-      this.#arrive(work, region);
-      this.#nextArrival(work, region);
+    const interArrivalMs = -Math.log(1 - uniformFloat64(this.#arrivalRng)) /
+      ratePerMs;
+    this.loop.after(interArrivalMs, () => {
+      this.#arrive(workload, region);
+      this.#nextArrival(workload, region);
     });
   }
 
-  #arrive(work: ServiceWork, region: RegionId): void {
-    const rng = this.#arrivals;
-    const kind = pickKind(work, uniformFloat64(rng));
+  #arrive(workload: ServiceWorkload, region: RegionId): void {
+    const rng = this.#arrivalRng;
+    const kind = pickKind(workload, uniformFloat64(rng));
     const { caller, tag } = this.#load.caller(rng, region);
     const req: BenchRequest = {
-      id: this.#ids++,
+      id: this.#nextId++,
       caller,
-      service: work.service,
+      service: workload.service,
       kind,
-      workMs: this.#load.workMs(rng, kind),
+      serviceTimeMs: this.#load.serviceTimeMs(rng, kind),
       sentAt: this.loop.now,
       tag,
       region,
-      callerMs: CALLER_MS,
+      callerDelayMs: CALLER_DELAY_MS,
       tries: 0,
       ended: false,
       target: undefined,
@@ -291,46 +300,48 @@
     const vm = this.#lookUp(req);
     if (vm === undefined) return;
     req.tries++;
-    const away = vm.region === req.region ? 0 : this.deployment.regionMs;
-    req.callerMs = CALLER_MS + away;
-    this.loop.after(req.callerMs, () => {
+    const crossRegionMs = vm.region === req.region
+      ? 0
+      : this.deployment.crossRegionDelayMs;
+    req.callerDelayMs = CALLER_DELAY_MS + crossRegionMs;
+    this.loop.after(req.callerDelayMs, () => {
       if (this.isLost(vm.region)) return;
       this.scheme!.arrive(req, vm);
     });
   }
 
-  /** The VM that the caller's cached look-up names first. */
+  /** The first VM of the caller's cached look-up response. */
   #lookUp(req: BenchRequest): VmEntry | undefined {
     const live = this.vms.filter((vm) => vm.live && !this.isLost(vm.region));
-    const near = live.filter((vm) => vm.region === req.region);
-    const vms = near.length > 0 ? near : live;
-    const period = Math.floor(this.loop.now / LOOKUP_MS);
-    return vms[hash(`${req.caller} ${period}`) % vms.length];
+    const sameRegion = live.filter((vm) => vm.region === req.region);
+    const vms = sameRegion.length > 0 ? sameRegion : live;
+    const cachePeriod = Math.floor(this.loop.now / LOOKUP_CACHE_TTL_MS);
+    return vms[hash(`${req.caller} ${cachePeriod}`) % vms.length];
   }
 
-  #isCounted(at: number): boolean {
-    return at >= this.countFrom && at < this.countTo;
+  #isCounted(time: number): boolean {
+    return time >= this.countFrom && time < this.countTo;
   }
 
-  #count(target: FakeTarget, by: number): void {
+  #addLoad(target: FakeTarget, delta: number): void {
     const key = `${target.entry.service} ${target.entry.region}`;
-    const load = (this.#regionLoad.get(key) ?? 0) + by;
+    const load = (this.#regionLoad.get(key) ?? 0) + delta;
     this.#regionLoad.set(key, load);
     const over = load - this.#regionSlots.get(key)!;
-    if (over > this.metrics.mostOverRegion) this.metrics.mostOverRegion = over;
+    if (over > this.metrics.maxOverRegion) this.metrics.maxOverRegion = over;
   }
 }
 
-function pickKind(work: ServiceWork, at: number): WorkKind {
+function pickKind(workload: ServiceWorkload, fraction: number): RequestKind {
   let sum = 0;
-  for (const kind of work.kinds) {
+  for (const kind of workload.kinds) {
     sum += kind.share;
-    if (at < sum) return kind;
+    if (fraction < sum) return kind;
   }
-  return work.kinds.at(-1)!;
+  return workload.kinds.at(-1)!;
 }
 
-/** FNV-1a with a final mix; any even spread would do. */
+/** FNV-1a with a final mix; any evenly distributed hash would do. */
 export function hash(text: string): number {
   let h = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) {
