--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -1,11 +1,10 @@
 /**
- * Whether a request that finds no free slot may wait, and for how long.
+ * Decides whether a request that finds no free slot may wait, and how long.
  *
- * Answers bursts and saturation. Without a bound on the wait a queue built in
- * a second of overload is worked off for many seconds after it, callers give up
- * while they still stand in it, and slots are spent on answers that nobody
- * reads. One notices a p99 that stays high long after the load fell, and
- * goodput far below capacity.
+ * Without a limit on the wait, a queue that built up in one second of overload
+ * takes many seconds to be served. Callers give up while still queued, and
+ * slots are spent on responses that nobody reads: p99 stays high long after the
+ * load fell, and goodput is far below capacity.
  *
  * @module
  */
@@ -14,37 +13,38 @@
 import type { FairQueue } from "./fair_queue.ts";
 import type { ClassState, ServiceState } from "./service_state.ts";
 
-/** A queue from which nobody was served after a shorter wait, for half a second
- * or more, is no burst: half of the wait below, so that a queue held at that
- * wait keeps counting as standing. */
+/** A queue in which the shortest wait exceeds this for half a second or more is
+ * a standing queue, not a burst. This is half of the wait limit below, so that
+ * a queue kept at that limit still counts as standing. */
 const STANDING_FROM_MS = 100;
 
 /**
- * Longest wait behind a standing queue. After saturation ends at 80 % load a
- * fifth of the capacity works the queue off, so that a wait of W takes 5 W to
- * go: 200 ms goes in one second, half of the 2 s that recovery may take.
+ * Maximum wait in a standing queue. After saturation, at 80 % load, a fifth of
+ * the capacity is left to drain the queue, so a wait of W takes 5 W to
+ * disappear: 200 ms takes one second, half of the 2 s allowed for recovery.
  */
 const STANDING_WAIT_MS = 200;
 
 /**
- * The same for a class with others below it. Its queue is worked off before
- * theirs, by all capacity that it doesn't need itself, at least half of it in
- * both deployments' mixes: 600 ms goes in little more than a second. With the
- * shorter bound a first class that fills 92 % of the slots lost 1 % of its
- * requests to chance (measured: saturation of the docket).
+ * The same for a class that has lower classes. Its queue is served before
+ * theirs, by all capacity that its new requests don't need, at least half of
+ * the total in the expected mixes: 600 ms drains in little more than a second.
+ * With the shorter limit, a first class that fills 92 % of the slots lost 1 %
+ * of its requests to random bursts.
  */
 const STANDING_WAIT_FIRST_MS = 600;
 
-/** What becomes of a request that finds no free slot. */
+/** Decision on a request that finds no free slot. */
 export type Admission =
   | { readonly kind: "wait"; readonly giveUpAt: number }
-  /** It may wait if the newest of that queue's longest caller leaves. */
+  /** It may wait if the newest request of the caller with the longest queue is
+   * refused instead. */
   | { readonly kind: "replace"; readonly giveUpAt: number }
   | { readonly kind: "refuse" };
 
 const REFUSED: Admission = { kind: "refuse" };
 
-/** The request to decide on. */
+/** A request to be admitted. */
 export interface Candidate {
   readonly caller: CallerId;
   readonly class: ClassState;
@@ -75,8 +75,8 @@
     : REFUSED;
 }
 
-/** Whether the service has had waiting requests for so long that more load
- * must not be added by choice. */
+/** Whether requests of the service have been waiting for so long that optional
+ * load, such as retries, must not be added. */
 export function isOverloaded(service: ServiceState, now: number): boolean {
   if (service.waiting === 0) return false;
   return service.classes.some((cls) => isStanding(cls.waiting, now));
@@ -96,7 +96,7 @@
   return isLast ? STANDING_WAIT_MS : STANDING_WAIT_FIRST_MS;
 }
 
-/** Requests of better classes that wait. */
+/** Waiting requests of better classes. */
 function waitingBefore(service: ServiceState, cls: ClassState): number {
   let count = 0;
   for (let i = 0; i < cls.index; i++) {
@@ -105,7 +105,7 @@
   return count;
 }
 
-/** Requests served before the next one of a caller, in turns. */
+/** Requests served before a caller's next one under round robin. */
 function fairPosition(queue: FairQueue, caller: CallerId): number {
   const own = queue.sizeOf(caller);
   const callers = queue.callers + (own === 0 ? 1 : 0);
--- a/packages/decisions/src/attempts.ts
+++ b/packages/decisions/src/attempts.ts
@@ -1,11 +1,11 @@
 /**
- * The life of an attempt: hedged, ended, learned from, and perhaps followed by
- * another.
+ * Attempts after their dispatch: hedging, their end, what is learned from them,
+ * and retries.
  *
- * Answers attempts that fail. A request that may have run is sent again only if
- * it is idempotent; one that surely has not run may always be. Either costs a
- * token of the retry budget, and in an overload nothing that may have run is
- * run again: it would take a slot from a request that was never served.
+ * A request that may have run is sent again only if it is idempotent; one that
+ * certainly has not run may always be sent again. Both cost a token of the
+ * retry budget. Under overload a request that may have run is not retried: it
+ * would take a slot from a request that has not been served at all.
  *
  * @module
  */
@@ -20,16 +20,16 @@
 import type { ClassState, ServiceState } from "./service_state.ts";
 import type { VmState } from "./vm_state.ts";
 
-/** Attempts of one request. With the retry budget for all requests together,
- * this keeps a single request that breaks its targets from breaking many. */
+/** Maximum attempts per request. Together with the retry budget of the service,
+ * it keeps a single request that crashes its targets from crashing many. */
 const MOST_ATTEMPTS = 3;
 
-/** How long a slot stays taken after its attempt broke off, beyond the way to
- * the target: within it the target learns that the connection is closed. A
- * request sent sooner could run beside the one that is being cancelled. */
+/** How long a slot stays occupied after its attempt was aborted, beyond the
+ * one-way time to the target: within it the target learns that the connection
+ * is closed. A request sent sooner could run beside the cancelled one. */
 const LINGER_MS = 5;
 
-/** An attempt ended. */
+/** Processes the end of an attempt. */
 export function ended(
   vm: VmState,
   event: { request: RequestState; attempt: number; outcome: AttemptOutcome },
@@ -52,7 +52,8 @@
   if (req.running.length === 0 && req.settled) vm.requests.delete(req.request);
 }
 
-/** The first byte of an answer came: no other attempt may answer. */
+/** Processes the first byte of a response: from now on no other attempt may
+ * win. */
 export function answering(
   req: RequestState,
   attempt: number,
@@ -63,7 +64,7 @@
   cancelOthers(req, attempt, out);
 }
 
-/** The caller went away: nothing more is started for it. */
+/** Processes the caller's disconnect: nothing more is started for the request. */
 export function gone(vm: VmState, req: RequestState, out: Effect[]): void {
   req.settled = true;
   hedge.unwatch(req);
@@ -72,7 +73,8 @@
   if (req.running.length === 0) vm.requests.delete(req.request);
 }
 
-/** Sends late requests of a class to a second target while that is cheap. */
+/** Sends late requests of a class to a second target while no requests wait and
+ * the retry budget allows it. */
 export function hedgeLate(
   vm: VmState,
   cls: ClassState,
@@ -119,7 +121,7 @@
   vm.lingering.push({ target, until: end.now + oneWay + LINGER_MS });
 }
 
-/** What the attempt says about its target and about usual times. */
+/** Updates the target's health and the usual times from an attempt. */
 function learn(
   vm: VmState,
   req: RequestState,
@@ -152,7 +154,7 @@
       req.service.recount();
       return;
     case "cancelled": {
-      // Its time so far is a lower bound of what it would have taken.
+      // Its time so far is a lower bound of its full time.
       const soFar = (now - attempt.startedAt) / req.class.time.mean;
       if (soFar > belief.ratio) belief.tookAtLeast(soFar);
       return;
@@ -160,8 +162,9 @@
   }
 }
 
-/** A slow target's times are not what is usual, unless most have become so:
- * counted in, one slow target of four raised every expected wait there. */
+/** Whether most targets are slow. Only then do a slow target's times count as
+ * usual: otherwise one slow target of four raised every expected wait of its
+ * service. */
 function mostAreSlow(service: ServiceState): boolean {
   let slow = 0;
   for (const { belief } of service.held) if (belief.slow) slow++;
@@ -204,8 +207,8 @@
   }
 }
 
-/** Queues a request again, if it may be sent again; else ends it. A target
- * that is leaving costs no token: a drain must not eat the budget. */
+/** Queues a request again if it may be retried; otherwise ends it. A leaving
+ * target costs no token: a drain must not use up the retry budget. */
 function tryAgain(
   vm: VmState,
   req: RequestState,
--- a/packages/decisions/src/belief.ts
+++ b/packages/decisions/src/belief.ts
@@ -1,60 +1,65 @@
 /**
- * What a VM believes of one target.
+ * Health of one target, as one VM estimates it.
  *
- * Answers targets that are slow, lying, silent, cold or shedding. A target's
- * own health endpoint lags and misleads: a target ejected on its word alone
- * takes capacity away, and one kept on its word alone fails every request sent
- * to it. So this VM's own attempts decide, other VMs' attempts count when
- * several agree, and the target's own report only puts it later in the order.
+ * Targets may be slow, unresponsive, cold or shedding load, or report a wrong
+ * state. A target's own health endpoint lags and can be wrong: ejecting targets
+ * on its report alone removes capacity, and trusting it alone fails every
+ * request sent to a broken target. So this VM's own attempts decide, other VMs'
+ * attempts count when several agree, and the target's own report only makes it
+ * less preferred.
  *
  * @module
  */
 
 import type { VmId } from "@poplarthread/ids";
 
-/** Failures in a row after which no new work goes there. Two in a row happen by
- * chance about once in 10,000 at 1 % of failures; three, once in a million. */
+/** Consecutive failures after which a target gets no new work. At a failure
+ * rate of 1 %, two in a row happen by chance about once in 10,000 requests,
+ * three once in a million. */
 const FAILURES_TO_STOP = 3;
 
-/** First pause before one request tries a failing target again, doubled up to
- * the longest. Half a second is some ten times a usual request. */
+/** Pause before one request probes a failing target: the first one, doubled
+ * each time up to the longest. Half a second is about ten times a usual
+ * request. */
 const FIRST_PAUSE_MS = 500;
 const LONGEST_PAUSE_MS = 8_000;
 
-/** First pause after a target refused for lack of capacity, and the longest.
- * About one usual request, after which a slot there should be free. */
+/** Back-off after a target refused for lack of capacity: the first one and the
+ * longest. The first is about one usual request, after which a slot there
+ * should be free. */
 const FIRST_REST_MS = 20;
 const LONGEST_REST_MS = 1_000;
 
-/** A target is slow when its requests take this many times what their class
- * usually takes. Below it, chance alone gets there (measured: slow target). */
+/** A target is slow when its requests take this many times the usual time of
+ * their class. Lower ratios also occur by chance. */
 const SLOW_RATIO = 2.5;
 
-/** Weight of one answer in the ratio: 10 answers of memory. Ratios of single
- * answers are cut at the second number, so that one long request among short
- * ones can't mark a target as slow. */
+/** Weight of one response in the ratio: a memory of about 10 responses. Single
+ * ratios are capped, so that one long request among short ones can't mark a
+ * target as slow. */
 const RATIO_WEIGHT = 0.1;
 const RATIO_CUT = 8;
 
-/** A target without an answer for this long may be tried once more. */
+/** A slow target without a response for this long may be tried once more. */
 const SLOW_PROBE_MS = 1_000;
 
-/** Cold targets are expected to take this many times the usual, until enough
- * answers were seen to know. */
+/** Expected ratio of a cold target, until it has given enough responses to be
+ * judged by them. */
 const COLD_RATIO = 2;
 const WARM_AFTER_ANSWERS = 20;
 
-/** Age at which a report or another VM's word is no longer heard. Reports come
- * about once a second; three missing ones are silence. */
+/** Age at which a report of the target or of another VM expires. Reports arrive
+ * about once a second; this is three missing ones. */
 const WORD_EXPIRES_MS = 3_000;
 
-/** Other VMs that must agree before their word counts as own failures. */
+/** Number of other VMs that must report a target as failing before it counts as
+ * failing here. */
 const PEERS_TO_STOP = 2;
 
-/** How a target stands. */
+/** Health state of a target; `resting` means that it is in back-off. */
 export type Standing = "usable" | "resting" | "failing";
 
-/** Signals on one target, with their age. */
+/** Health signals of one target, each with its age. */
 export class Belief {
   /** Time taken against what is usual, 1 is usual. */
   #ratio = 1;
@@ -69,7 +74,7 @@
   #unhealthyUntil = 0;
   #peers: Map<VmId, number> | undefined;
 
-  /** Whether own attempts say that it fails. */
+  /** Whether this VM's own attempts show that the target fails. */
   get failing(): boolean {
     return this.#failures >= FAILURES_TO_STOP;
   }
@@ -79,12 +84,12 @@
     return this.#ratio;
   }
 
-  /** Whether it is slower than chance explains. */
+  /** Whether the target is slower than chance explains. */
   get slow(): boolean {
     return this.#ratio > SLOW_RATIO;
   }
 
-  /** An answer came; `ratio` is its time against what is usual. */
+  /** Records a response; `ratio` is its time relative to the usual. */
   answered(ratio: number, now: number): void {
     this.#answers++;
     this.#failures = 0;
@@ -96,13 +101,14 @@
     this.#ratio += RATIO_WEIGHT * (sample - this.#ratio);
   }
 
-  /** An attempt was cancelled after at least this ratio of the usual time. */
+  /** Records an attempt that was cancelled after this ratio of the usual time:
+   * a lower bound. */
   tookAtLeast(ratio: number): void {
     const sample = Math.min(ratio, RATIO_CUT);
     this.#ratio += RATIO_WEIGHT * (sample - this.#ratio);
   }
 
-  /** An attempt failed, or was answered by a server error. */
+  /** Records a failed attempt or a server error. */
   failed(now: number): void {
     this.#failures++;
     if (!this.failing) return;
@@ -111,20 +117,20 @@
     this.#pauseUntil = now + Math.min(pause, LONGEST_PAUSE_MS);
   }
 
-  /** The target refused without running the request. */
+  /** Records that the target refused a request without running it. */
   refused(now: number): void {
     const rest = FIRST_REST_MS * 2 ** Math.min(this.#refusals, 10);
     this.#refusals++;
     this.#restUntil = now + Math.min(rest, LONGEST_REST_MS);
   }
 
-  /** The target's own word. Old ones are dropped. */
+  /** Records the target's own health report; expired ones are ignored. */
   reported(healthy: boolean, ageMs: number, now: number): void {
     if (ageMs >= WORD_EXPIRES_MS) return;
     this.#unhealthyUntil = healthy ? 0 : now - ageMs + WORD_EXPIRES_MS;
   }
 
-  /** Another VM's word from its own attempts. */
+  /** Records another VM's report from its own attempts. */
   heard(
     word: { from: VmId; failing: boolean; ageMs: number },
     now: number,
@@ -135,9 +141,9 @@
     } else this.#peers.delete(word.from);
   }
 
-  /** How it stands now. Where `mostFail`, its service's targets mostly look
-   * dead from here: then the fault is likelier on the way or in the signals,
-   * and ejecting them would turn a partial fault into a whole one. */
+  /** Current health state. Where `mostFail`, most targets of the service look
+   * dead from here. Then the cause is more likely the network or the signals,
+   * and ejecting the targets would turn a partial fault into a total one. */
   standing(now: number, mostFail: boolean): Standing {
     if (this.#restUntil > now) return "resting";
     if (mostFail) return "usable";
@@ -146,18 +152,19 @@
     return "usable";
   }
 
-  /** Whether one request may now try a failing target. */
+  /** Whether one request may now probe a failing target. */
   mayProbe(now: number): boolean {
     return this.#pauseUntil <= now;
   }
 
-  /** A probe was sent; the next one waits for its outcome, or for a pause. */
+  /** Records that a probe was sent. The next one is allowed after its outcome,
+   * or after a pause. */
   probed(now: number): void {
     this.#pauseUntil = now + FIRST_PAUSE_MS;
   }
 
-  /** How much longer than usual a request would take there, in ms, where
-   * `usualMs` is usual. 0 where it is as good as any. */
+  /** Extra time that a request is expected to take there, in ms, relative to
+   * `usualMs`; 0 for a healthy target. */
   extraMs(usualMs: number, cold: boolean, now: number): number {
     let extra = 0;
     if (this.slow) extra = this.#slowExtra(usualMs, now);
@@ -169,15 +176,15 @@
     return extra;
   }
 
-  /** Now and then a slow target gets one request as if it were not slow: its
-   * answers are the only sign that it is well again. */
+  /** Periodically lets one request treat a slow target as not slow: its
+   * responses are the only sign of recovery. */
   #slowExtra(usualMs: number, now: number): number {
     const asked = this.#lastAnswerAt + SLOW_PROBE_MS > now ||
       this.#slowProbeAt + SLOW_PROBE_MS > now;
     return asked ? (this.#ratio - 1) * usualMs : 0;
   }
 
-  /** A request went there. */
+  /** Records that a request was dispatched to the target. */
   used(now: number): void {
     if (this.slow) this.#slowProbeAt = now;
   }
--- a/packages/decisions/src/effect.ts
+++ b/packages/decisions/src/effect.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM is to do after a decision.
+ * Actions that a VM has to carry out after a decision.
  *
  * @module
  */
@@ -14,18 +14,19 @@
 
 /** Why a request is not served. */
 export type RefuseReason =
-  /** Its wait could not end in time, or the queue of its class is full. */
+  /** Its expected wait is too long, or the queue of its class is full. */
   | "overload"
-  /** It waited for as long as it may. */
+  /** It waited for the maximum time. */
   | "waited-too-long"
   /** No target of the service is known to this VM. */
   | "no-target"
   /** The policy in force doesn't know its service or class. */
   | "unknown-route"
-  /** Its attempts failed, and another is not allowed or not affordable. */
+  /** Its attempts failed, and another attempt is not allowed or exceeds the
+   * retry budget. */
   | "attempts-failed";
 
-/** Send the request to the target now. The slot is taken. */
+/** Send the request to the target now. Its slot is already counted as used. */
 export interface Dispatch {
   readonly kind: "dispatch";
   readonly request: RequestId;
@@ -34,7 +35,8 @@
   readonly attempt: number;
 }
 
-/** Send an idempotent request to a second target, beside the running attempt. */
+/** Send an idempotent request to a second target, in parallel with the running
+ * attempt. */
 export interface Hedge {
   readonly kind: "hedge";
   readonly request: RequestId;
@@ -42,38 +44,40 @@
   readonly attempt: number;
 }
 
-/** Break the attempt off. `ended` is expected for it nevertheless. */
+/** Abort the attempt. An `ended` event is still expected for it. */
 export interface Cancel {
   readonly kind: "cancel";
   readonly request: RequestId;
   readonly attempt: number;
 }
 
-/** Give the caller its final answer now. */
+/** Refuse the request: send the caller its final reply now. */
 export interface Refuse {
   readonly kind: "refuse";
   readonly request: RequestId;
   readonly reason: RefuseReason;
-  /** When to come back, spread over callers, in milliseconds. */
+  /** When the caller should retry, spread over callers. */
   readonly retryAfterMs: number;
-  /** True only where no attempt can have run it; else its outcome is unknown. */
+  /** True only if no attempt can have run the request; otherwise its outcome is
+   * unknown. */
   readonly notRun: boolean;
 }
 
-/** Tell a peer what waits here; it answers by lending, now or later. */
+/** Request slots from a peer and report what waits here. The peer responds by
+ * lending, now or later. */
 export interface Ask {
   readonly kind: "ask";
   readonly to: VmId;
   readonly service: ServiceId;
   readonly region: RegionId;
-  /** 0 withdraws the question. */
+  /** 0 withdraws the request. */
   readonly slots: number;
   readonly rank: number;
   readonly rankWaitMs: number;
   readonly waitMs: number;
 }
 
-/** Lend slots of a target to a peer. This VM counts them as gone already. */
+/** Lend slots of a target to a peer. This VM already counts them as lent. */
 export interface Lend {
   readonly kind: "lend";
   readonly to: VmId;
@@ -82,7 +86,7 @@
   readonly durationMs: number;
 }
 
-/** Give borrowed slots back. This VM doesn't use them any more. */
+/** Return borrowed slots. This VM no longer uses them. */
 export interface GiveBack {
   readonly kind: "give-back";
   readonly to: VmId;
@@ -90,20 +94,21 @@
   readonly slots: number;
 }
 
-/** This VM now holds no more than the plan of that sequence allots to it. */
+/** This VM now uses no more than the plan with this sequence allots to it. */
 export interface PlanApplied {
   readonly kind: "plan-applied";
   readonly sequence: number;
 }
 
-/** This VM's own attempts say that a target fails, or works again: tell peers. */
+/** This VM's own attempts show that a target fails or works again; to be
+ * reported to peers. */
 export interface BeliefChanged {
   readonly kind: "belief-changed";
   readonly target: TargetId;
   readonly failing: boolean;
 }
 
-/** Everything that can be asked of the VM. */
+/** All effects. */
 export type Effect =
   | Dispatch
   | Hedge
--- a/packages/decisions/src/estimator.ts
+++ b/packages/decisions/src/estimator.ts
@@ -1,16 +1,15 @@
 /**
- * Running mean and mean deviation of a time, for what a request of a class
- * usually takes.
+ * Running mean and mean deviation of request times.
  *
  * @module
  */
 
-/** Weight of a new sample: about 40 samples of memory, a quarter of a second
- * at the rate of one region of the larger service (150 requests a second). */
+/** Weight of a new sample: a memory of about 40 samples, a quarter of a second
+ * at 150 requests per second. */
 const WEIGHT = 0.05;
 
-/** Taken as usual until the first sample: between a cached page and a booking.
- * Only the order of size matters; the first answers replace it. */
+/** Initial estimate until the first sample. Only its order of magnitude
+ * matters; the first responses replace it. */
 export const FIRST_GUESS_MS = 50;
 
 /** Mean and mean deviation, exponentially weighted. */
@@ -19,7 +18,7 @@
   deviation = FIRST_GUESS_MS / 2;
   #samples = 0;
 
-  /** Takes one measured time in, in milliseconds. */
+  /** Adds one measured time. */
   add(ms: number): void {
     this.#samples++;
     const weight = Math.max(WEIGHT, 1 / this.#samples);
--- a/packages/decisions/src/event.ts
+++ b/packages/decisions/src/event.ts
@@ -1,5 +1,5 @@
 /**
- * What can happen to a VM, as far as its decisions go.
+ * Events that a VM's decisions process.
  *
  * @module
  */
@@ -16,19 +16,20 @@
 import type { Plan } from "./plan.ts";
 import type { Policy } from "./policy.ts";
 
-/** Whether a request may be run again after it may have run. */
+/** Whether a request may be run again once it may have run. */
 export type Repeat = "idempotent" | "at-most-once";
 
 /**
  * How an attempt ended.
  *
- * - `answered`: the whole answer came.
- * - `answered-error`: the whole answer came and is a server error; it is the
- *   caller's answer, and it counts against the target.
- * - `refused-not-run`: the target refused and says that it did not run.
+ * - `answered`: the complete response arrived.
+ * - `answered-error`: the complete response arrived and is a server error; it
+ * is passed to the caller, and it counts against the target.
+ * - `refused-not-run`: the target refused the request and states that it did
+ * not run it.
  * - `leaving`: the same, because the target is leaving.
- * - `failed-before-sent`: no byte of the request was handed to the network.
- * - `failed-after-sent`: the target may have run it.
+ * - `failed-before-sent`: no byte of the request was passed to the network.
+ * - `failed-after-sent`: the target may have run the request.
  * - `cancelled`: ended because of a `cancel` effect.
  */
 export type AttemptOutcome =
@@ -40,28 +41,29 @@
   | "failed-after-sent"
   | "cancelled";
 
-/** A target as the target list names it. */
+/** An entry of the target list. */
 export interface TargetEntry {
   readonly target: TargetId;
   readonly service: ServiceId;
   readonly region: RegionId;
   readonly zone: ZoneId;
   readonly leaving: boolean;
-  /** Its caches are cold: new, or restarted. Its use is raised slowly. */
+  /** Its caches are cold because it is new or restarted; its use is raised
+   * slowly. */
   readonly cold?: boolean;
 }
 
-/** An entry VM as the membership names it. */
+/** An entry VM in the membership list. */
 export interface VmEntry {
   readonly vm: VmId;
   readonly region: RegionId;
   readonly zone: ZoneId;
-  /** False when it is leaving, or no sign of it has come for long. */
+  /** False when it is leaving or has not been heard from for long. */
   readonly live: boolean;
 }
 
-/** A request to be decided on. Every accepted one ends by exactly one of: an
- * attempt that is answered, a `refuse` effect, or `gone`. */
+/** A new request. Every request ends in exactly one of these ways: an attempt
+ * is answered, a `refuse` effect, or `gone`. */
 export interface Arrive {
   readonly kind: "arrive";
   readonly request: RequestId;
@@ -69,19 +71,19 @@
   readonly service: ServiceId;
   /** Id of the class in the policy. */
   readonly class: string;
-  /** Time left to answer, in milliseconds. */
+  /** Time left until its deadline. */
   readonly deadlineMs: number;
   readonly repeat: Repeat;
 }
 
-/** The first byte of an answer came. From here on no other attempt may win. */
+/** The first byte of a response arrived. From now on no other attempt may win. */
 export interface Answering {
   readonly kind: "answering";
   readonly request: RequestId;
   readonly attempt: number;
 }
 
-/** An attempt ended and its slot is free. Sent once for every dispatch, also
+/** An attempt ended and its slot is free. Sent once for every attempt, also
  * after a cancel. */
 export interface Ended {
   readonly kind: "ended";
@@ -90,24 +92,24 @@
   readonly outcome: AttemptOutcome;
 }
 
-/** The caller went away. */
+/** The caller disconnected. */
 export interface Gone {
   readonly kind: "gone";
   readonly request: RequestId;
 }
 
-/** A target's own word on its health and load. */
+/** A target's own report of its health and load. */
 export interface Report {
   readonly kind: "report";
   readonly target: TargetId;
   readonly healthy: boolean;
-  /** Requests in flight, of all VMs, where the target tells it. */
+  /** Requests in flight from all VMs, if the target reports it. */
   readonly inFlight?: number;
   /** Age of the measurement, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What another VM sees of a target from its own attempts. */
+/** Another VM's view of a target, from its own attempts. */
 export interface PeerBelief {
   readonly kind: "peer-belief";
   readonly from: VmId;
@@ -116,26 +118,26 @@
   readonly ageMs: number;
 }
 
-/** A target is leaving, by any sign from any source. Never taken back but by a
- * target list that names it as not leaving after it was gone. */
+/** A target is leaving, as reported by any source. It is reset only by a target
+ * list that names the target as not leaving after it was gone. */
 export interface TargetLeaving {
   readonly kind: "target-leaving";
   readonly target: TargetId;
 }
 
-/** The whole target list. Targets that it doesn't name are gone. */
+/** The full target list. Targets that it doesn't name are gone. */
 export interface Targets {
   readonly kind: "targets";
   readonly targets: readonly TargetEntry[];
 }
 
-/** The whole list of entry VMs, this one included. */
+/** The full list of entry VMs, including this one. */
 export interface Vms {
   readonly kind: "vms";
   readonly vms: readonly VmEntry[];
 }
 
-/** What an operator drains, all of it; an empty list ends every drain. */
+/** The full set of operators' drains; empty lists end all drains. */
 export interface Drains {
   readonly kind: "drains";
   readonly targets: readonly TargetId[];
@@ -143,39 +145,40 @@
   readonly vms: readonly VmId[];
 }
 
-/** A plan is in force, or is renewed: its time to live starts again. */
+/** A plan is in force, or was renewed: its time to live starts again. */
 export interface PlanReceived {
   readonly kind: "plan";
   readonly plan: Plan;
-  /** For how long it may be used, in ms; its time to live where absent. */
+  /** Remaining time that it may be used, in ms; by default its time to live. */
   readonly validMs?: number;
 }
 
-/** A region is lost, or back: decided from membership, not by one report. */
+/** A region is lost or available again. This is decided from the membership,
+ * not from a single report. */
 export interface RegionLost {
   readonly kind: "region-lost";
   readonly region: RegionId;
   readonly lost: boolean;
 }
 
-/** Another policy is in force. */
+/** A new policy is in force. */
 export interface PolicyChanged {
   readonly kind: "policy";
   readonly policy: Policy;
 }
 
 /**
- * Another VM asks for slots. It replaces the VM's earlier question about the
+ * Another VM requests slots. This replaces that VM's earlier request for the
  * same service and region; 0 slots withdraw it.
  */
 export interface Asked {
   readonly kind: "asked";
   readonly from: VmId;
   readonly service: ServiceId;
-  /** Region whose targets are wanted. */
+  /** Region whose targets are requested. */
   readonly region: RegionId;
   readonly slots: number;
-  /** Best rank that waits there. */
+  /** Best rank among the requests that wait there. */
   readonly rank: number;
   /** Expected time until its waiting requests of that rank are served from the
    * slots that it holds, in ms. */
@@ -190,11 +193,12 @@
   readonly from: VmId;
   readonly target: TargetId;
   readonly slots: number;
-  /** For how long, counted from now, safety margin already taken off. */
+  /** Duration of the loan from now on; the safety margin is already subtracted. */
   readonly durationMs: number;
 }
 
-/** Slots that this VM lent are back: returned by the borrower or run out. */
+/** Slots that this VM lent are available again: returned by the borrower, or
+ * the loan expired. */
 export interface LoanEnded {
   readonly kind: "loan-ended";
   readonly to: VmId;
@@ -202,12 +206,12 @@
   readonly slots: number;
 }
 
-/** The time asked for by `nextTick` has come. */
+/** The time given by `nextTick` has come. */
 export interface Tick {
   readonly kind: "tick";
 }
 
-/** Everything that can happen. */
+/** All events. */
 export type SteeringEvent =
   | Arrive
   | Answering
--- a/packages/decisions/src/exchange.ts
+++ b/packages/decisions/src/exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Gives free slots to whoever goes first, own request or peer, and asks peers
- * for slots while requests wait.
+ * Assigns free slots to the request with the highest priority, local or of
+ * another VM, and requests slots from other VMs while local requests wait.
  *
  * @module
  */
@@ -15,11 +15,12 @@
 import type { ServiceState, StandingAsk } from "./service_state.ts";
 import type { VmState } from "./vm_state.ts";
 
-/** Slots that any caller may hold: with fewer, two requests that came together
- * by chance would count as too many. */
+/** Slots that any caller may hold, however small its share. With fewer, two
+ * concurrent requests of one caller could already exceed its share. */
 const LEAST_CALLER_LIMIT = 3;
 
-/** Hands out what is free of a service, and asks for what is missing. */
+/** Assigns the free slots of a service, and requests missing ones from other
+ * VMs. */
 export function settle(
   vm: VmState,
   service: ServiceState,
@@ -33,7 +34,7 @@
   askAfar(vm, service, ctx);
 }
 
-/** Slots came from a peer. */
+/** Adds slots that another VM lent. */
 export function borrowed(
   vm: VmState,
   event: Borrowed,
@@ -54,7 +55,7 @@
   return service;
 }
 
-/** Slots lent to a peer are back. */
+/** Takes back slots that this VM had lent. */
 export function loanEnded(
   vm: VmState,
   event: LoanEnded,
@@ -68,14 +69,16 @@
   return service;
 }
 
-/** Gives back borrowed slots that idle, or whose target takes no new work. */
+/** Returns borrowed slots that have been idle too long or whose target takes no
+ * new work. */
 export function returnIdle(
   vm: VmState,
   ctx: { now: number; out: Effect[] },
 ): void {
   for (const target of vm.targets.values()) {
     if (target.loans.length === 0) continue;
-    // A slot afar is kept for longer than the way to ask for it again.
+    // Slots in another region are kept longer, by the round trip that
+    // requesting them again would take.
     const away = 2 * (vm.linkTo(target)?.roundTripMs ?? 0);
     const idle = !target.open ||
       ctx.now - target.idleSince >= lending.IDLE_MS + away;
@@ -125,9 +128,10 @@
   return true;
 }
 
-/** A borrowed slot can't be lent on. Given back, its owner lends it to the peer
- * that waits; kept, it idled beside waiting peers until it was due (two thirds
- * of a slot a region, measured: sales of Kinolenta). */
+/** Returns an idle borrowed slot for a peer that waits. A borrowed slot can't
+ * be lent on; its owner, once it has it back, lends it to that peer. Kept until
+ * its idle time ended, about two thirds of a slot per region idled while peers
+ * waited. */
 function returnForPeer(service: ServiceState, out: Effect[]): boolean {
   if (service.waiting > 0) return false;
   const target = lending.idleBorrowed(service);
@@ -154,7 +158,7 @@
   }
 }
 
-/** When the next question about a service may, or must, go out. */
+/** Time at which the next slot request for a service may be sent, or is due. */
 export function askDueAt(service: ServiceState): number {
   const { asked } = service;
   const wait = service.waiting > asked.slots
@@ -187,7 +191,7 @@
   }
 }
 
-/** One VM after the other, turning with time. */
+/** Chooses one VM, rotating over time. */
 function pick(vms: readonly VmId[] | undefined, now: number) {
   if (vms === undefined || vms.length === 0) return undefined;
   return vms[Math.floor(now / ASK_AFAR_AGAIN_MS) % vms.length];
--- a/packages/decisions/src/fair_queue.ts
+++ b/packages/decisions/src/fair_queue.ts
@@ -1,11 +1,11 @@
 /**
- * Waiting requests of one class, served in turn caller by caller.
+ * Waiting requests of one class, served round robin by caller.
  *
- * Answers the load of few callers with most of the requests. With one queue in
- * order of arrival a caller that sends half of all requests sets everyone's
- * wait: callers with one request each would notice waits as long as the busy
- * caller's backlog. Here each caller waits behind its own requests, and behind
- * one of each other caller.
+ * Often a few callers send most of the requests. In a queue ordered by arrival,
+ * a caller with half of all requests would determine everyone's wait, so
+ * callers with single requests would wait for its whole backlog. Here each
+ * request waits behind its caller's earlier requests and, for each of them and
+ * itself, one request of each other caller.
  *
  * @module
  */
@@ -24,14 +24,14 @@
   next: CallerQueue;
 }
 
-/** Queues looked at when the longest is wanted. A caller with much of the load
- * is met early: its queue comes back to the front each turn. */
+/** Queues scanned when searching for the longest. A caller with much of the
+ * load is found early: its queue returns to the front in each rotation. */
 const LONGEST_SCAN = 16;
 
-/** Window over which the shortest wait is taken: about ten usual requests. */
+/** Window of the shortest wait: about ten usual requests. */
 const WINDOW_MS = 500;
 
-/** Round robin over callers. All operations are O(1). */
+/** Round-robin queue over callers. All operations are O(1). */
 export class FairQueue {
   size = 0;
   #windowStart = 0;
@@ -40,15 +40,15 @@
   #callers = new Map<CallerId, CallerQueue>();
   #front: CallerQueue | undefined;
 
-  /** Shortest wait of those served in the last window and in this one, in ms;
-   * 0 if the queue was empty at any time. A burst passes through 0 when it is
-   * worked off; a standing queue does not. */
+  /** Shortest wait in ms among requests served in the last and the current
+   * window; 0 if the queue was empty at any time. A burst's wait reaches 0 once
+   * it is served; that of a standing queue does not. */
   shortestWait(now: number): number {
     this.#roll(now);
     return Math.min(this.#shortestBefore, this.#shortestNow);
   }
 
-  /** A request that waited this long got its slot. */
+  /** Records that a request got its slot after this wait. */
   served(waitedMs: number, now: number): void {
     this.#roll(now);
     this.#shortestNow = Math.min(this.#shortestNow, waitedMs);
@@ -61,17 +61,17 @@
     this.#windowStart = now;
   }
 
-  /** Callers that wait. */
+  /** Number of callers with waiting requests. */
   get callers(): number {
     return this.#callers.size;
   }
 
-  /** Requests of a caller that wait. */
+  /** Number of waiting requests of a caller. */
   sizeOf(caller: CallerId): number {
     return this.#callers.get(caller)?.size ?? 0;
   }
 
-  /** Adds a request behind its caller's others. */
+  /** Appends a request to its caller's queue. */
   push(req: RequestState): void {
     const queue = this.#queueOf(req.caller);
     req.queue = queue;
@@ -84,8 +84,9 @@
     this.size++;
   }
 
-  /** Adds a request before its caller's others, and its caller before other
-   * callers: it had its turn already, and its attempt did not run. */
+  /** Adds a request at the front of its caller's queue, and moves that caller
+   * to the front: the request was already served once, and its attempt did not
+   * succeed. */
   pushFront(req: RequestState): void {
     const queue = this.#queueOf(req.caller);
     req.queue = queue;
@@ -99,7 +100,7 @@
     this.#moveToFront(queue);
   }
 
-  /** Takes a waiting request out, from wherever it stands. */
+  /** Removes a waiting request from any position. */
   remove(req: RequestState): void {
     const queue = req.queue;
     if (queue === undefined) return;
@@ -116,17 +117,17 @@
     if (this.size === 0) this.#shortestNow = 0;
   }
 
-  /** Whose turn it is. */
+  /** The request to serve next. */
   peek(): RequestState | undefined {
     return this.#front?.head;
   }
 
-  /** Passes the turn to the next caller. */
+  /** Moves on to the next caller. */
   rotate(): void {
     this.#front = this.#front?.next;
   }
 
-  /** The newest request of the caller with the most, and how many it has. */
+  /** The longest queue among the first callers in rotation. */
   longest(): CallerQueue | undefined {
     let longest = this.#front;
     let queue = this.#front;
--- a/packages/decisions/src/fallback.ts
+++ b/packages/decisions/src/fallback.ts
@@ -1,13 +1,13 @@
 /**
- * What holds once a region is lost, agreed before it is.
+ * Computes in advance the plan that applies once a region is lost.
  *
- * Answers the loss of a region while the platform's service is away: no new
- * plan can be written then. Each VM that sees the region lost switches to the
- * part of the plan that was made for this. It takes nothing new: slots of the
- * surviving regions are in use already, and those owned by VMs of the lost one
- * stay unused until a planner has seen them expire, since the region may only
- * be cut off, with its VMs still at work. So no survivor is pushed over what it
- * carries, whether the region is dead or only out of sight.
+ * While the platform's service is unavailable, no new plan can be written. Each
+ * VM that sees a region as lost switches to this part of the plan. The fallback
+ * assigns no additional slots: those of the surviving regions are already in
+ * use, and those owned by VMs of the lost region stay unused until a planner
+ * has seen them expire, since that region may only be cut off while its VMs
+ * still run. So no surviving target is overloaded, whether the region is dead
+ * or only unreachable.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 import type { Fallback, Plan } from "./plan.ts";
 import { type RegionLoad, wantShares } from "./plan_shares.ts";
 
-/** The fallback of a plan for the loss of a region. */
+/** The fallback of a plan for the loss of one region. */
 export function fallbackFor(
   plan: Plan,
   ctx: { lost: RegionId; loads: readonly RegionLoad[] },
--- a/packages/decisions/src/give_up_heap.ts
+++ b/packages/decisions/src/give_up_heap.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting requests by the time at which their wait ends.
+ * Waiting requests ordered by the time at which their wait ends.
  *
  * @module
  */
@@ -8,13 +8,14 @@
 
 interface Entry {
   readonly req: RequestState;
-  /** The request's `giveUpAt` when it was queued. A request that is queued again
-   * gets a second entry; changed in place, its first would break the order. */
+  /** The request's `giveUpAt` when it was queued. A request that is queued
+   * again gets a second entry, since changing the first in place would break
+   * the heap order. */
   readonly at: number;
 }
 
-/** Binary heap. Entries of requests that got a slot stay in until they come to
- * the top: taking them out early would cost more than passing over them. */
+/** Binary heap. Entries of requests that got a slot remain until they reach the
+ * top: removing them earlier would cost more than skipping them. */
 export class GiveUpHeap {
   #items: Entry[] = [];
 
--- a/packages/decisions/src/hedge.ts
+++ b/packages/decisions/src/hedge.ts
@@ -1,12 +1,12 @@
 /**
- * A second attempt beside a slow first one.
+ * Hedging: a second attempt in parallel with a slow first one.
  *
- * Answers a target that stalls or has gone silent: its requests would wait until
- * their deadline, long before enough answers are missing to stop using it. An
- * idempotent request that takes far longer than usual is sent to a second
- * target, and the first answer wins. Unbounded, hedges double the load just when
- * targets are slow because they are busy; so they need an idle slot, an empty
- * queue and a token of the retry budget.
+ * A target may stall or become unresponsive. Its requests would wait until
+ * their deadline, since it takes longer than that until enough failures are
+ * seen to eject it. An idempotent request that takes far longer than usual is
+ * sent to a second target, and the first response wins. Without a limit, hedges
+ * double the load exactly when targets are slow because they are busy; so they
+ * need an idle slot, an empty queue and a token of the retry budget.
  *
  * @module
  */
@@ -14,16 +14,16 @@
 import type { RequestState } from "./request_state.ts";
 import type { ClassState } from "./service_state.ts";
 
-/** Deviations above the mean at which a request counts as late: the slowest
- * 2 % of exponential times, the slowest 1 % of narrower ones. */
+/** Deviations above the mean at which a request counts as late: the slowest 2 %
+ * of exponentially distributed times, 1 % of narrower distributions. */
 const LATE_DEVIATIONS = 4;
 
-/** How long a request of a class may take before it counts as late, in ms. */
+/** Time after which a request of a class counts as late, in ms. */
 export function lateAfterMs(cls: ClassState): number {
   return cls.time.mean + LATE_DEVIATIONS * cls.time.deviation;
 }
 
-/** Starts to watch a request, behind those sent before it. */
+/** Starts watching a request, after those dispatched earlier. */
 export function watch(req: RequestState): void {
   const cls = req.class;
   req.hedgePrevious = cls.hedgeTail;
@@ -33,7 +33,7 @@
   cls.hedgeTail = req;
 }
 
-/** Stops watching it. */
+/** Stops watching a request. */
 export function unwatch(req: RequestState): void {
   const cls = req.class;
   if (!isWatched(req)) return;
@@ -49,7 +49,7 @@
   return req.hedgePrevious !== undefined || req.class.hedgeHead === req;
 }
 
-/** The oldest watched request of a class, if it is late; else undefined. */
+/** The oldest watched request of a class if it is late; otherwise undefined. */
 export function lateRequest(
   cls: ClassState,
   now: number,
@@ -59,7 +59,7 @@
   return lateAt(req) <= now ? req : undefined;
 }
 
-/** When a watched request becomes late. */
+/** Time at which a watched request becomes late. */
 export function lateAt(req: RequestState): number {
   const started = req.running[0]?.startedAt ?? req.arrivedAt;
   return started + lateAfterMs(req.class);
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -1,14 +1,15 @@
 /**
- * Who asks whom for how many slots, and who gets a slot that falls free.
+ * Slot requests between VMs, and the choice of who gets a slot that becomes
+ * free.
  *
- * Answers callers that are not spread evenly over the entry VMs, with targets
- * of 3 or 6 slots shared by some ten VMs. With slots owned and never lent, a
- * request waits at one VM while a slot idles at the next; one notices waits at
- * loads where a central queue has none. So a VM with waiting requests tells its
- * peers how many wait, of which class and since when; a peer with a free slot
- * lends it at once, and a peer without one weighs the question against its own
- * queue whenever a slot falls free. The effect is that of one queue in order of
- * class and age, late by one message.
+ * Callers are not spread evenly over the entry VMs, and targets of 3 or 6 slots
+ * are shared by about ten VMs. If owned slots were never lent, a request would
+ * wait at one VM while a slot idles at the next, at loads where a central queue
+ * has no waits. So a VM with waiting requests tells its peers how many wait, of
+ * which class and for how long. A peer with a free slot lends it at once; a
+ * peer without one compares the slot request with its own queue whenever a slot
+ * becomes free. This approximates a single queue ordered by class and age,
+ * delayed by one message.
  *
  * @module
  */
@@ -20,55 +21,56 @@
 import type { ServiceState, StandingAsk } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
 
-/** How long slots are lent. It bounds what a dead borrower holds back, and must
- * exceed the deadlines of requests, since none may outlive its slot's loan. */
+/** Duration of a loan. It bounds how long a dead borrower can hold slots, and
+ * must exceed the deadlines of requests, since none may outlive the loan of its
+ * slot. */
 export const LOAN_MS = 30_000;
 
-/** A busy VM hands a slot over only if the peer's requests wait for longer than
- * its own by this much. A slot idles for some 6 ms on its way there and back
- * (1.5 ms one way between zones), so a gain must be a multiple of that: from
- * 6 ms to 30 ms the goodput at twice saturation rose by 6 % and p99 at 0.95 load
- * fell by 4 %; 60 ms gave 1 % more and moved slots too late to few callers. */
+/** A busy VM hands a slot over only if the peer's requests wait longer than its
+ * own by this much. A slot idles for about 6 ms on its way there and back (1.5
+ * ms one way between zones), so the gain must be a multiple of that. From 6 ms
+ * to 30 ms, goodput at twice the saturation load rose by 6 % and p99 at 0.95
+ * load fell by 4 %; 60 ms gave 1 % more goodput, but slots moved too late with
+ * few callers. */
 const LEAST_GAIN_MS = 30;
 
-/** The same as a share of the own wait. Under overload everyone waits for long,
- * and slots that are handed back and forth for small differences idle on the
- * way: without this, and with waits compared by age alone, a slot changed hands
- * 2.6 times a request and a tenth of the capacity was lost (measured:
- * saturation). */
+/** The same as a share of the local wait. Under overload all waits are long,
+ * and slots that are passed back and forth for small differences idle on the
+ * way: without this, and with waits compared by age alone, a slot moved 2.6
+ * times per request and a tenth of the capacity was lost. */
 const LEAST_GAIN_SHARE = 0.5;
 
-/** Shortest time between two questions about the same service: a round trip
- * between zones, within which no answer to the first one can have come. */
+/** Minimum interval between two requests for slots of the same service: a round
+ * trip between zones, within which no response to the first can have arrived. */
 export const ASK_AGAIN_MS = 4;
 
-/** A standing question is repeated after this time, and forgotten by the peer
- * after the second one, in case its withdrawal was lost. */
+/** A pending slot request is repeated after the first time. The peer drops it
+ * after the second, in case its withdrawal was lost. */
 export const ASK_REFRESH_MS = 25;
 const ASK_EXPIRES_MS = 100;
 
-/** A borrowed slot that idles this long goes back unasked. */
+/** Idle time after which a borrowed slot is returned without a request. */
 export const IDLE_MS = 50;
 
-/** Share of its slots that a VM keeps free of loans into other regions: a slot
- * lent there is away for a round trip even when it is wanted back. */
+/** Share of its slots that a VM keeps free of loans into other regions: such a
+ * slot is away for a round trip even when it is needed locally. */
 const KEEP_FROM_AFAR = 0.25;
 
-/** A VM whose requests kept more than this share of its slots busy over the
- * last seconds has none to spare, whatever is free at the moment. A slot lent
- * over 110 ms is away for three usual requests: without this, at 0.95 load,
- * regions took each other's last slots, and the docket's p99 rose from 491 ms to
- * 634 ms. */
+/** A VM whose requests occupied more than this share of its slots over the last
+ * seconds lends none into other regions, even if some are free at the moment. A
+ * slot lent over 110 ms is away for about three usual requests: without this
+ * limit, at 0.95 load, regions took each other's last slots, and p99 of a
+ * service rose from 491 ms to 634 ms. */
 const BUSY_SHARE = 0.85;
 
-/** The least kept: a VM of few slots has most of them free now and then, also
- * at 0.95 load, when its region has none to spare. */
+/** Minimum number kept free: at 0.95 load a VM with few slots also has most of
+ * them free at times, although its region has none to spare. */
 const LEAST_KEPT_FROM_AFAR = 2;
 
-/** Every rank is at most this. */
+/** Upper bound of all ranks. */
 const LAST_RANK = Number.POSITIVE_INFINITY;
 
-/** Notes a peer's question, in place of its earlier one. */
+/** Stores a peer's slot request, replacing its earlier one. */
 export function noteAsk(
   service: ServiceState,
   ask: Asked,
@@ -89,10 +91,10 @@
   });
 }
 
-/** Whether every neighbour asks for slots itself: only then is the region short.
- * Asked afar in one VM's bad moment, slots of other regions were away for a
- * round trip each while a neighbour's came sooner: a tenth of the slots went
- * into way at 0.8 load, and p99 doubled (sales of Kinolenta). */
+/** Whether all neighbours request slots too: only then is the region short of
+ * slots. When one VM's momentary shortage was enough, slots of other regions
+ * were away for a round trip each although a neighbour's would have come
+ * sooner: at 0.8 load a tenth of the slots was in transit, and p99 doubled. */
 export function allAsk(
   service: ServiceState,
   neighbours: readonly VmId[],
@@ -104,7 +106,8 @@
   });
 }
 
-/** The question that goes first: best class, then longest wait of it. */
+/** The slot request with the highest priority: best class, then longest wait of
+ * that class. */
 export function firstAsk(
   service: ServiceState,
   now: number,
@@ -125,11 +128,12 @@
   return a.rankWaitMs > b.rankWaitMs;
 }
 
-/** Whether a peer's question goes before this VM's own waiting requests: it
- * waits for much longer with its best class, or with all of them while none of
- * a better class waits here. A caller that holds its share already goes after
- * every peer: without this one caller's VM drew in the slots of the whole
- * region, and the callers of other VMs waited as long as that one. */
+/** Whether a peer's slot request has priority over this VM's own waiting
+ * requests: its best class waits much longer there, or all its requests do
+ * while no better class waits here. Local requests of a caller that holds its
+ * full share come after every peer; otherwise that caller's VM would draw in
+ * the slots of the whole region, and the callers of other VMs would wait as
+ * long as that caller. */
 export function peerGoesFirst(
   service: ServiceState,
   ask: StandingAsk,
@@ -146,7 +150,7 @@
   return theirs > own * (1 + LEAST_GAIN_SHARE) + LEAST_GAIN_MS;
 }
 
-/** One slot was handed over for a question: as much less waits there. */
+/** Reduces a slot request by one granted slot, and its waits in proportion. */
 export function granted(service: ServiceState, ask: StandingAsk): void {
   const left = (ask.slots - 1) / ask.slots;
   ask.rankWaitMs *= left;
@@ -155,8 +159,8 @@
   if (ask.slots === 0) service.asks.delete(ask.from);
 }
 
-/** A target with a slot to hand over for a question: one borrowed from the
- * asker first, which is its own. */
+/** A target with a slot to hand over for a slot request. Slots borrowed from
+ * the requesting VM come first. */
 export function slotFor(
   service: ServiceState,
   ask: StandingAsk,
@@ -184,7 +188,7 @@
   return service.held.find((target) => target.freeBorrowed > 0);
 }
 
-/** Hands one slot over: lends an owned one, gives a borrowed one back. */
+/** Hands one slot over: lends an owned one, or returns a borrowed one. */
 export function handOver(
   target: TargetState,
   to: VmId,
@@ -206,7 +210,7 @@
   });
 }
 
-/** Gives one idle borrowed slot back to whom it belongs. */
+/** Returns one borrowed slot to its owner. */
 export function giveBackOne(target: TargetState, out: Effect[]): void {
   const loan = target.loans.find((loan) => loan.slots > 0);
   if (loan === undefined) return;
@@ -226,7 +230,7 @@
   target.loans.splice(target.loans.indexOf(loan), 1);
 }
 
-/** Drops loans whose time has come. Returns whether there were any. */
+/** Drops expired loans. Returns whether there were any. */
 export function dropEndedLoans(target: TargetState, now: number): boolean {
   let dropped = false;
   for (let i = target.loans.length - 1; i >= 0; i--) {
@@ -239,7 +243,7 @@
   return dropped;
 }
 
-/** The next request in turn. */
+/** The next waiting request of the best class. */
 function headOf(service: ServiceState): RequestState | undefined {
   for (const cls of service.classes) {
     const head = cls.waiting.peek();
@@ -248,7 +252,7 @@
   return undefined;
 }
 
-/** One question, addressed. */
+/** The effect that sends a slot request to one VM. */
 export function askEffect(
   service: ServiceState,
   to: { vm: VmId; region: RegionId },
--- a/packages/decisions/src/mod.ts
+++ b/packages/decisions/src/mod.ts
@@ -1,6 +1,6 @@
 /**
- * Decisions under load, as pure code: what is let in, what waits, what is
- * turned away, where work goes, and how fast it shifts.
+ * Admission, queueing, load shedding, placement and traffic shifting, as pure
+ * code without I/O.
  *
  * @module
  */
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,13 +1,13 @@
 /**
- * Which target a request goes to.
+ * Chooses the target of a request.
  *
- * Answers targets with few slots shared by many VMs, and targets that differ:
- * slow, cold, far or failing ones. A VM places only on slots that it holds, so
- * no choice made on lagging figures can push a target over its slots. Among
- * these the one with the least extra time is taken, and only if waiting for a
- * better one would take longer: sent at once to a slow or far target, a request
- * can lose more than it would by waiting a few milliseconds. Without this rule
- * one notices a p99 set by the slowest target of the fleet.
+ * Targets have few slots that many VMs share, and some are slow, cold, distant
+ * or failing. A VM uses only slots that it holds, so no choice based on
+ * outdated figures can overload a target. Among these slots it takes the target
+ * with the least extra time, but only if waiting for a better one would take
+ * longer: sent at once to a slow or distant target, a request can lose more
+ * time than by waiting a few milliseconds. Without this rule the slowest target
+ * of the fleet would determine p99.
  *
  * @module
  */
@@ -16,19 +16,19 @@
 import type { ServiceState } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
 
-/** Extra time that is never worth a wait: the round trip between two
- * availability zones (3 ms) and the millisecond of a new connection. */
+/** Extra time that never justifies a wait: the round trip between two
+ * availability zones (3 ms) and the time to open a connection (1 ms). */
 const CHEAP_MS = 5;
 
-/** What placement asks about where targets are. */
+/** Distances to targets. */
 export interface Distances {
-  /** Round trip to the target beyond what the nearest one costs, in ms;
-   * infinite where the link has no room. */
+  /** Round trip to the target beyond that to the nearest one, in ms; infinite
+   * where the link is full. */
   extraMs(target: TargetState): number;
 }
 
-/** The target for `req`, or undefined if it does better to wait. `ahead`
- * requests wait before it. */
+/** The target for `req`, or undefined if it should wait. `ahead` is the number
+ * of requests before it. */
 export function place(
   service: ServiceState,
   req: RequestState,
@@ -69,14 +69,15 @@
   return best;
 }
 
-/** Held targets from which on they stand for the service. */
+/** Number of held targets from which they are representative of the service. */
 const ENOUGH_HELD = 3;
 
 /**
- * Whether most targets look dead by this VM's own attempts. A VM that holds
- * slots of one or two targets looks at all that are known: judged by these
- * alone, a single dead target is "most", stays in use, fails each request at
- * once, and so draws in more of them than any other.
+ * Whether most targets fail according to this VM's own attempts. A VM that
+ * holds slots of only one or two targets judges by all known targets: judged by
+ * the held ones alone, a single dead target would be a majority and stay in
+ * use. Since it fails each request at once, it would attract more requests than
+ * any other.
  */
 export function mostLookDead(service: ServiceState): boolean {
   const { held, targets } = service;
@@ -88,7 +89,7 @@
   return failing * 2 > (isEnough ? held.length : targets.size);
 }
 
-/** A failing target is tried by one request that may be repeated. */
+/** A failing target is probed by one request that may be repeated. */
 function mayProbe(
   target: TargetState,
   req: RequestState,
@@ -98,8 +99,8 @@
     target.inUse === 0 && target.free > 0 && target.belief.mayProbe(now);
 }
 
-/** On a borrowed slot a request must end before the loan does: after that the
- * slot is another VM's, and two requests would run on it. */
+/** On a borrowed slot a request must end before the loan does: after that
+ * another VM may use the slot, and two requests would run on it. */
 export function mayUseSlot(
   target: TargetState,
   req: RequestState,
--- a/packages/decisions/src/plan_check.ts
+++ b/packages/decisions/src/plan_check.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a plan is safe to act on, whoever acts on which plan.
+ * Checks that a plan is safe, whichever VMs act on it or on an earlier plan.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import type { Plan } from "./plan.ts";
 import type { Policy } from "./policy.ts";
 
-/** One rule that a plan breaks. */
+/** A safety rule that a plan violates. */
 export interface PlanFault {
   readonly kind: "target-over" | "link-over" | "row" | "fallback-raises";
   readonly message: string;
 }
 
-/** Rules that a plan breaks; none for a safe one. */
+/** Safety rules that a plan violates; none for a safe plan. */
 export function planFaults(plan: Plan, policy: Policy): PlanFault[] {
   return [
     ...targetFaults(plan, policy),
--- a/packages/decisions/src/plan_links.ts
+++ b/packages/decisions/src/plan_links.ts
@@ -1,11 +1,11 @@
 /**
- * How much of each link each VM may use, raised in capped steps.
+ * Computes how much of each link each VM may use, raised in capped steps.
  *
- * Answers large shifts of traffic that meet cold caches. A region that takes
- * over much of another's work at once runs it at cold speed on all its slots,
- * and its own callers wait; one notices p99 of the region that was well rise
- * with the shift. So what may flow into a region grows by a capped share of its
- * slots a step, less while its caches are cold. Lowering is never capped.
+ * Large traffic shifts hit cold caches. A region that takes over much of
+ * another's work at once serves it at cold speed on all its slots, so its own
+ * callers wait and the p99 of a healthy region rises. So the traffic into a
+ * region grows by a capped share of its slots per step, and by less while its
+ * caches are cold. Lowering is never capped.
  *
  * @module
  */
@@ -17,19 +17,19 @@
 import type { PlannerInput } from "./planner.ts";
 import type { LinkPolicy } from "./policy.ts";
 
-/** What may still be moved into a region in this step, in slots. */
+/** Slots of traffic that may still be moved into a region in this step. */
 export interface Credit {
   saved: number;
-  /** The cap of one step. */
+  /** Cap of one step, in slots. */
   readonly cap: number;
 }
 
-/** Credits of all regions, drawn on by shares and links alike. */
+/** Credits of all regions, shared by caller shares and links. */
 export type Credits = Map<RegionId, Credit>;
 
-/** Adds what the time since the last plan allows. No more is ever saved up than
- * one step's cap; where that is less than one slot on a cold link, one slot, or
- * links into a small region could never be raised. */
+/** Adds the allowance for the time since the last plan. At most one step's cap
+ * accumulates. Where that is less than one slot on a cold link, one slot may
+ * accumulate; otherwise links into a small region could never be raised. */
 export function earnCredits(input: PlannerInput): Credits {
   const { shift, regions } = input.policy;
   const steps = Math.min(1, input.previousAgeMs / shift.stepMs);
@@ -44,7 +44,7 @@
   return credits;
 }
 
-/** How much less a step may move over a cold link. */
+/** Factor by which a step is smaller on a cold link. */
 function coldRatio(input: PlannerInput): number {
   const { maxStepShare, coldStepShare } = input.policy.shift;
   return Math.min(1, Math.max(0.01, coldStepShare / maxStepShare));
@@ -91,7 +91,7 @@
   }).map((row) => ({ ...row, from, to }));
 }
 
-/** In flight over a link after this step. */
+/** Total in-flight limit of a link after this step. */
 function raisedTo(
   input: PlannerInput,
   link: LinkPolicy,
@@ -112,8 +112,8 @@
   return now + raise;
 }
 
-/** Keeps what each VM has where the sum stays the same, so that an uneven rest
- * doesn't wander between VMs. */
+/** Keeps the previous distribution where the sum is unchanged, so that an
+ * uneven remainder does not move between VMs. */
 function keepNear(
   previous: readonly Holding[],
   wanted: Map<VmId, number>,
--- a/packages/decisions/src/plan_shares.ts
+++ b/packages/decisions/src/plan_shares.ts
@@ -1,10 +1,11 @@
 /**
- * Where callers are pointed: each region's own, unless it can't carry them.
+ * Computes which region each region's callers are directed to: their own,
+ * unless it lacks capacity.
  *
- * Answers a region that is drained, short of targets or gone, and its return.
- * Callers cache look-ups, so a share moves only as fast as the cap allows, into
- * regions with room, in proportion to that room; moved at once it would push
- * the next region past what it carries, and then the one after.
+ * This handles a region that is drained, short of targets or lost, and its
+ * return. Callers cache look-ups, so a share moves only as fast as the cap
+ * allows, into regions with spare capacity and in proportion to it. Moved at
+ * once, it would overload the next region, and then the one after.
  *
  * @module
  */
@@ -17,23 +18,23 @@
 /** Demand and capacity of a region, in slots of all services. */
 export interface RegionLoad {
   readonly region: RegionId;
-  /** What its callers keep busy. */
+  /** Slots that its callers occupy. */
   readonly demand: number;
-  /** What its open targets carry, while it has a live VM. */
+  /** Slots of its open targets; 0 without a live VM. */
   readonly capacity: number;
 }
 
-/** Rounding errors of sums of shares. */
+/** Tolerance for rounding errors in sums of shares. */
 const LEAST_MISSING = 1e-9;
 
-/** Load that a region's own callers may put on it before some are pointed
- * elsewhere. Above it waits grow faster than the way to the next region costs;
- * below it borrowing over the links is enough. */
+/** Load that a region's own callers may put on it before some are directed
+ * elsewhere. Above it, waits grow by more than the round trip to the next
+ * region; below it, borrowing over the links is enough. */
 const FULL_LOAD = 0.95;
 
-/** Loads of all regions. The policy's expected peak stands in for callers'
- * demand, which no VM can measure by region once callers are pointed away;
- * measured demand only fills in where the policy names none. */
+/** Loads of all regions. The expected peak in the policy is used as the
+ * callers' demand, because no VM can measure it by region once callers are
+ * directed elsewhere. Measured demand is used only where the policy names none. */
 export function regionLoads(input: PlannerInput): RegionLoad[] {
   return input.policy.regions.map(({ id }) => {
     const live = input.vms.some((vm) => vm.live && vm.region === id);
@@ -45,7 +46,7 @@
   });
 }
 
-/** Shares of the next plan, one capped step from the previous ones. */
+/** Shares of the next plan, at most one capped step from the previous ones. */
 export function nextShares(
   input: PlannerInput,
   ctx: { loads: readonly RegionLoad[]; credits: Credits },
@@ -62,7 +63,7 @@
   );
 }
 
-/** Shares that would suit the loads, without regard to steps. */
+/** Shares that fit the loads, regardless of the caps per step. */
 export function wantShares(loads: readonly RegionLoad[]): CallerShare[] {
   return loads.flatMap((load) => {
     const away = shareAway(load);
@@ -89,8 +90,9 @@
   return 1 - carried / load.demand;
 }
 
-/** Room for others' callers. A region without room still takes a sliver while
- * it serves at all, so that callers of a dead region always have somewhere. */
+/** Spare capacity for callers of other regions. A region at full load still
+ * counts with 1 % of its capacity, so that callers of a dead region always have
+ * a destination. */
 function roomOf(load: RegionLoad): number {
   if (load.capacity === 0) return 0;
   return Math.max(0.01 * load.capacity, load.capacity - load.demand);
@@ -117,7 +119,7 @@
   return spreadBack(rows, now, missing);
 }
 
-/** Takes a raise out of the region's credit; returns the share allowed. */
+/** Takes an increase out of the region's credit; returns the share allowed. */
 function drawShare(
   by: number,
   ctx: { demand: number; credits: Credits; to: RegionId },
@@ -130,7 +132,8 @@
   return slots / ctx.demand;
 }
 
-/** What could not be raised yet stays where it was, so that shares add up. */
+/** Increases that the caps did not allow stay with the regions that would have
+ * lost them, so that the shares still add up to 1. */
 function spreadBack(
   rows: readonly { row: CallerShare; share: number; by: number }[],
   now: (row: CallerShare) => number,
--- a/packages/decisions/src/plan_slots.ts
+++ b/packages/decisions/src/plan_slots.ts
@@ -1,10 +1,11 @@
 /**
- * Which VM should own how many slots of which target.
+ * Computes which VM should own how many slots of which target.
  *
- * Answers load that comes unevenly to the VMs of a region, and the way between
- * zones. Slots that lie where the requests are need not be lent for each
- * request, and slots in the own zone are free again 2 to 3 ms sooner; with
- * requests of 40 ms a slot used across zones carries 6 % less.
+ * Requests arrive unevenly at the VMs of a region, and traffic between zones
+ * takes time. Slots owned by the VM that receives the requests need not be lent
+ * for each request, and slots in the VM's own zone are free again 2 to 3 ms
+ * sooner: with requests of 40 ms, a slot used across zones serves 6 % fewer of
+ * them.
  *
  * @module
  */
@@ -12,39 +13,39 @@
 import type { RegionId, ServiceId, TargetId, VmId } from "@poplarthread/ids";
 import type { TargetEntry, VmEntry } from "./event.ts";
 
-/** Every VM gets at least this share of the mean, so that one without requests
- * at the moment can serve its next ones. */
+/** Every VM gets at least this share of the mean, so that a VM that is idle now
+ * can serve its next requests. */
 const LEAST_WEIGHT = 0.25;
 
-/** A VM's count follows its demand only when it is off by more than this share:
- * each move costs a lowering and a raising, and demand of one second is noisy
- * (8 slots: ±3). */
+/** A VM's slot count changes only if it differs from its demand by more than
+ * this share: each move lowers one VM and raises another, and demand over one
+ * second is noisy (8 slots: ±3). */
 const HYSTERESIS = 0.3;
 
-/** Most of a region's slots that one plan moves between VMs. A moved slot idles
- * until its VM confirmed and the next plan is out, 1.5 s: with a third of the
- * slots moved at once the drain of a zone ended in refusals at 40 % load
- * (planned drain). */
+/** Largest share of a region's slots that one plan moves between VMs. A moved
+ * slot idles until its previous VM has confirmed and the next plan is out, 1.5
+ * s: with a third of the slots moved at once, draining a zone caused refusals
+ * at 40 % load. */
 const MOST_MOVED = 0.1;
 
-/** What the distribution is made from. */
+/** Input of the distribution. */
 export interface SlotDemand {
   readonly service: ServiceId;
   readonly region: RegionId;
   /** Targets that take new work. */
   readonly targets: readonly TargetEntry[];
   readonly slotsPerTarget: number;
-  /** Slots that may be handed out. */
+  /** Number of slots to distribute. */
   readonly total: number;
-  /** VMs that may own slots there. */
+  /** VMs that may own slots of these targets. */
   readonly vms: readonly VmEntry[];
-  /** Demand of a VM in slots; undefined where nothing fresh is known. */
+  /** Demand of each VM in slots; absent where no recent measurement exists. */
   readonly demand: ReadonlyMap<VmId, number>;
-  /** What each VM owns now of each target. */
+  /** Slots that each VM now owns of each target. */
   readonly owned: ReadonlyMap<TargetId, ReadonlyMap<VmId, number>>;
 }
 
-/** Wanted slots, by target and VM. */
+/** Desired slots, by target and VM. */
 export type WantedSlots = Map<TargetId, Map<VmId, number>>;
 
 /** Distributes the slots of a service in a region. */
@@ -71,7 +72,7 @@
   return wanted;
 }
 
-/** Slots for each VM, by demand, in whole numbers. */
+/** Number of slots for each VM, by demand. */
 function wantCounts(input: SlotDemand): Map<VmId, number> {
   const held = heldNow(input);
   const weights = new Map<VmId, number>();
@@ -85,8 +86,8 @@
   return towards(held, ideal, input.total);
 }
 
-/** Counts nearer to the ideal ones: slots that nobody owns are handed out, and a
- * few are moved where a VM is far off. */
+/** Counts one step closer to the ideal ones: unowned slots are assigned, and a
+ * few are moved from VMs that are far above their ideal count. */
 function towards(
   held: ReadonlyMap<VmId, number>,
   ideal: ReadonlyMap<VmId, number>,
@@ -103,7 +104,7 @@
   for (let i = 0; i < most && unowned <= 0; i++) {
     const [from, over] = furthest(counts, ideal, 1);
     const isFar = over > Math.max(1, HYSTERESIS * (ideal.get(from!) ?? 0));
-    // A VM without any slot serves nothing of its own until it has one.
+    // A VM without any slot can't serve its own requests until it gets one.
     const isBare = [...counts].some(([vm, slots]) =>
       slots === 0 && ideal.get(vm)! > 0
     );
@@ -125,7 +126,7 @@
   return 1;
 }
 
-/** The VM that is furthest above its ideal count (sign 1) or below it (-1). */
+/** The VM furthest above its ideal count (sign 1) or below it (sign -1). */
 function furthest(
   counts: ReadonlyMap<VmId, number>,
   ideal: ReadonlyMap<VmId, number>,
@@ -153,7 +154,8 @@
   return held;
 }
 
-/** Shares `total` out by weight; the largest fractions get what is left. */
+/** Distributes `total` in proportion to the weights; the largest fractions get
+ * the remainder. */
 export function largestRemainder<Key>(
   weights: ReadonlyMap<Key, number>,
   total: number,
@@ -179,8 +181,8 @@
 
 type Give = (vm: VmId, target: TargetId, slots: number) => number;
 
-/** What a VM owns already stays with it, as far as its count goes: every move
- * of a slot costs a lowering and a raising. */
+/** Keeps the slots that a VM already owns, up to its count: each move lowers
+ * one VM and raises another. */
 function keepOwned(input: SlotDemand, give: Give): void {
   for (const { target } of input.targets) {
     for (const [vm, slots] of input.owned.get(target) ?? []) {
@@ -189,8 +191,8 @@
   }
 }
 
-/** Deals one slot at a time to one VM after the other, so that each VM's slots
- * spread over many targets and no target is one VM's alone. */
+/** Assigns one slot at a time to each VM in rotation, so that a VM's slots are
+ * spread over many targets and no target is used by a single VM only. */
 function fill(
   input: SlotDemand,
   ctx: { counts: Map<VmId, number>; give: Give; sameZone: boolean },
--- a/packages/decisions/src/plan_transition.ts
+++ b/packages/decisions/src/plan_transition.ts
@@ -1,40 +1,41 @@
 /**
- * From one plan to the next without ever handing out a slot twice.
+ * Moves slots from one plan to the next without ever assigning a slot twice.
  *
- * Answers VMs that are late, paused or dead while slots move between them. If a
- * plan raised one VM in the same step that lowers another, both would use the
- * slot until the second has heard of it: the target has one request too many,
- * and one notices it shedding. So a slot is lowered first, and given on only
- * after the VM that lost it confirmed, or after it has surely stopped.
+ * VMs may be late, paused or dead while slots move between them. If one plan
+ * both raised one VM and lowered another, both would use the slot until the
+ * second VM has received the plan; the target would get one request too many
+ * and shed it. So a VM's share is lowered first, and the slot is reassigned
+ * only after that VM has confirmed, or has certainly stopped.
  *
  * @module
  */
 
 import type { VmId } from "@poplarthread/ids";
 
-/** What one VM holds of one thing that is shared: a target, a link. */
+/** One VM's share of one shared resource: a target or a link. */
 export interface Holding {
   readonly vm: VmId;
-  /** What it may use from this plan on. */
+  /** Slots that it may use under this plan. */
   readonly slots: number;
-  /** The most that it may still use under an earlier plan. */
+  /** Most slots that it may still use under an earlier plan. */
   readonly mayHold: number;
-  /** Sequence of the plan that lowered it last. */
+  /** Sequence of the last plan that lowered its slots. */
   readonly loweredIn: number;
 }
 
-/** What the step needs to know. */
+/** Input of one transition. */
 export interface Step {
-  /** Sequence of the plan being made. */
+  /** Sequence of the plan being computed. */
   readonly sequence: number;
   /** Highest sequence that each VM confirmed. */
   readonly confirmed: ReadonlyMap<VmId, number>;
-  /** VMs that hold nothing any more, whatever they confirmed: see `silence.ts`. */
+  /** VMs that hold no slots any more, whatever they have confirmed: see
+   * `silence.ts`. */
   readonly stopped: ReadonlySet<VmId>;
 }
 
-/** Next holdings of one shared thing of `total` slots. The sum of `mayHold`
- * never exceeds `total` if it did not before. */
+/** Next holdings of one shared resource of `total` slots. The sum of `mayHold`
+ * does not exceed `total` unless it already did. */
 export function nextHoldings(
   previous: readonly Holding[],
   wanted: ReadonlyMap<VmId, number>,
@@ -61,7 +62,7 @@
   return next;
 }
 
-/** A lowering is complete once it was confirmed, or its VM has stopped. */
+/** A lowering is complete once its VM has confirmed it or has stopped. */
 function settle(old: Holding, step: Step): Holding {
   const confirmed = (step.confirmed.get(old.vm) ?? 0) >= old.loweredIn;
   return confirmed || step.stopped.has(old.vm)
@@ -78,7 +79,8 @@
   };
 }
 
-/** Raising within what the VM may still hold takes nothing from the rest. */
+/** Raises a VM's slots. What it may still hold from an earlier plan needs no
+ * spare slots. */
 function raise(old: Holding, wanted: number, spare: number): Holding {
   if (wanted <= old.slots) return old;
   const slots = Math.min(wanted, old.mayHold + Math.max(0, spare));
--- a/packages/decisions/src/planner.ts
+++ b/packages/decisions/src/planner.ts
@@ -1,6 +1,6 @@
 /**
- * The planner: from the policy, the live VMs and targets and the plan before,
- * the next plan.
+ * Computes the next plan from the policy, the live VMs and targets, and the
+ * previous plan.
  *
  * @module
  */
@@ -15,50 +15,50 @@
 import { nextHoldings, type Step } from "./plan_transition.ts";
 import type { Policy, ServicePolicy } from "./policy.ts";
 
-/** Slots kept busy by requests that came to a VM. */
+/** Slots occupied by requests that arrived at one VM. */
 export interface MeasuredDemand {
   readonly vm: VmId;
   readonly service: ServiceId;
-  /** Mean number of slots that its requests keep busy or wait for. */
+  /** Mean number of slots that its requests occupy or wait for. */
   readonly slots: number;
   readonly ageMs: number;
 }
 
-/** Which plan a VM said that it applied. */
+/** The latest plan that a VM reported as applied. */
 export interface Confirmation {
   readonly vm: VmId;
-  /** Highest sequence that it confirmed by `plan-applied`. */
+  /** Highest sequence that it confirmed with `plan-applied`. */
   readonly sequence: number;
-  /** Time since the last word of it, in milliseconds. */
+  /** Time since its last report. */
   readonly ageMs: number;
 }
 
-/** What the planner looks at. */
+/** Input of the planner. */
 export interface PlannerInput {
   readonly policy: Policy;
   readonly revision: number;
   readonly vms: readonly VmEntry[];
-  /** All targets, drained ones as leaving. */
+  /** All targets; drained ones are marked as leaving. */
   readonly targets: readonly TargetEntry[];
   readonly demand: readonly MeasuredDemand[];
   readonly confirmations: readonly Confirmation[];
-  /** VMs that hold nothing any more: see `watchSilence`. */
+  /** VMs that hold no slots any more: see `silence.ts`. */
   readonly stopped: ReadonlySet<VmId>;
-  /** The plan in force. None at the very first. */
+  /** The plan in force; absent for the first plan. */
   readonly previous?: Plan;
-  /** Time since the planner wrote or first read the previous plan, in ms. */
+  /** Time since the planner wrote or first read the previous plan. */
   readonly previousAgeMs: number;
 }
 
-/** Time to live of a plan. A VM that hears no renewal for this long stops; long
- * enough for a slow store, short enough that a dead VM's slots are not missed
- * for long. */
+/** Time to live of a plan. A VM that receives no renewal for this long stops
+ * using it: long enough for a slow store, short enough that a dead VM's slots
+ * become available soon. */
 export const PLAN_TTL_MS = 10_000;
 
-/** Demand older than this is no measurement any more: five missed reports. */
+/** Demand reports older than this are ignored: five missed reports. */
 const DEMAND_EXPIRES_MS = 5_000;
 
-/** Makes the next plan. */
+/** Computes the next plan. */
 export function nextPlan(input: PlannerInput): Plan {
   const sequence = (input.previous?.sequence ?? 0) + 1;
   const step: Step = {
@@ -131,7 +131,8 @@
   );
 }
 
-/** VMs of the region own its slots; where none is live, those of others do. */
+/** Slots of a region are owned by its live VMs; if it has none, by the live VMs
+ * of other regions. */
 function ownersFor(input: PlannerInput, region: RegionId): VmEntry[] {
   const live = input.vms.filter((vm) => vm.live);
   const local = live.filter((vm) => vm.region === region);
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -1,6 +1,7 @@
 /**
- * What an operator decided, as far as the decisions need it. The shape is a
- * subset of the preset format, so that a checked preset can be passed as it is.
+ * The part of an operator's configuration that the decisions use. The shape is
+ * a subset of the preset format, so that a checked preset can be passed
+ * unchanged.
  *
  * @module
  */
@@ -13,21 +14,21 @@
   readonly zones: readonly ZoneId[];
 }
 
-/** A service: what its targets carry and how much of it may be handed out. */
+/** A service, the capacity of its targets and the share of it that may be used. */
 export interface ServicePolicy {
   readonly id: ServiceId;
-  /** Requests that one target works on at once. */
+  /** Requests that one target processes concurrently. */
   readonly slotsPerTarget: number;
   /** Number of targets by region. */
   readonly targets: Readonly<Partial<Record<RegionId, number>>>;
-  /** Largest share of a region's slots that a plan may hand out, 0 to 1. */
+  /** Largest share of a region's slots that a plan may distribute, 0 to 1. */
   readonly utilisation: number;
 }
 
-/** A class of requests, by importance. */
+/** A priority class of requests. */
 export interface ClassPolicy {
   readonly id: string;
-  /** 0 is served first. */
+  /** Rank; 0 is served first. */
   readonly rank: number;
   /** Longest wait for a slot, in milliseconds. */
   readonly maxWaitMs: number;
@@ -40,27 +41,28 @@
   readonly from: RegionId;
   readonly to: RegionId;
   readonly oneWayMs: number;
-  /** Most requests in flight over the link, of all VMs together. */
+  /** Maximum requests in flight over the link, of all VMs together. */
   readonly maxInFlight: number;
 }
 
-/** Slots that callers of a region keep busy at the expected peak. */
+/** Slots that a region's callers occupy at the expected peak. */
 export interface DemandPolicy {
   readonly region: RegionId;
   readonly service: ServiceId;
   readonly slots: number;
 }
 
-/** Caps of a shift of traffic. */
+/** Limits on traffic shifts between regions. */
 export interface ShiftPolicy {
   readonly stepMs: number;
-  /** Most of a region's slots that one step may move into it, 0 to 1. */
+  /** Largest share of a region's slots by which one step may raise the traffic
+   * into it, 0 to 1. */
   readonly maxStepShare: number;
   /** The same for a region whose caches are cold for the moved traffic. */
   readonly coldStepShare: number;
 }
 
-/** All of it. */
+/** The complete policy. */
 export interface Policy {
   readonly regions: readonly RegionPolicy[];
   readonly services: readonly ServicePolicy[];
@@ -68,7 +70,8 @@
   readonly links: readonly LinkPolicy[];
   readonly demand: readonly DemandPolicy[];
   readonly shift: ShiftPolicy;
-  /** Most of a service's slots that one caller may hold while others wait. */
+  /** Largest share of a service's slots that one caller may hold while others
+   * wait. */
   readonly callerShare: number;
   /** Retries and hedges allowed per first attempt, 0 to 1. */
   readonly retryShare: number;
--- a/packages/decisions/src/remote.ts
+++ b/packages/decisions/src/remote.ts
@@ -1,13 +1,13 @@
 /**
- * Local or remote: when a region's requests go to targets of another.
+ * Decides when a region's requests use targets of another region.
  *
- * Answers a region whose own slots do not suffice. Between regions a round trip
- * takes 110 ms or 40 ms, often more than the request itself: sent too early,
- * remote work is slower than waiting and takes slots that the other region
- * needs; sent never, a region saturates while others idle. So slots afar are
- * asked for only for requests whose expected wait exceeds the round trip, and
- * each link has a limit for this VM. Borrowing takes one more round trip, but a
- * borrowed slot serves many requests before it goes back.
+ * A region's own slots may not be enough. Between regions a round trip takes
+ * 110 ms or 40 ms, often longer than the request itself. Work sent too early is
+ * slower than waiting and takes slots that the other region needs; if none is
+ * sent, one region saturates while others idle. So slots of other regions are
+ * requested only for requests whose expected wait exceeds the round trip, and
+ * each link has a limit for this VM. Borrowing costs one more round trip, but a
+ * borrowed slot serves many requests before it is returned.
  *
  * @module
  */
@@ -19,14 +19,15 @@
 import type { TargetState } from "./target_state.ts";
 
 /** Round trip between zones of one region beyond that within a zone: one way
- * takes 1 to 1.5 ms. Only its order matters: the own zone is preferred. */
+ * takes 1 to 1.5 ms. The exact value matters little: it makes targets in the
+ * VM's own zone preferred. */
 const OTHER_ZONE_MS = 3;
 
-/** Shortest time between two questions to another region, about one round
- * trip between regions. */
+/** Minimum interval between two slot requests to other regions: about one round
+ * trip. */
 export const ASK_AFAR_AGAIN_MS = 100;
 
-/** A link of this VM's region to another. */
+/** A link from this VM's region to another. */
 export interface LinkState {
   readonly to: RegionId;
   readonly roundTripMs: number;
@@ -35,7 +36,7 @@
   inUse: number;
 }
 
-/** Links from one region, by their far end. */
+/** Links from one region, by their destination. */
 export function linksFrom(
   policy: Policy,
   from: RegionId,
@@ -62,7 +63,7 @@
     .sort((a, b) => a.oneWayMs - b.oneWayMs);
 }
 
-/** Takes over what the plan allots to a VM; links it doesn't name get 0. */
+/** Applies a VM's link allotments of the plan; links without one get 0. */
 export function allotLinks(
   links: ReadonlyMap<RegionId, LinkState>,
   allotments: readonly LinkAllotment[],
@@ -74,7 +75,8 @@
   }
 }
 
-/** Extra time of a target for its place alone, in ms. */
+/** Extra time of a target due to its location, in ms; infinite where the link
+ * is full. */
 export function distanceMs(
   target: TargetState,
   here: { region: RegionId; zone: string },
@@ -90,15 +92,16 @@
   return link.roundTripMs;
 }
 
-/** A slot afar is busy for the request and the round trip. Where that trip takes
- * more than this many usual requests, a borrowed slot serves two fifths or less
- * of what it serves at home: with the docket's requests of 52 ms over 110 ms,
- * borrowing made a slow target's p99 2.7 times the usual instead of 1.6, and
- * took goodput from both regions. */
+/** Longest round trip, as a multiple of the usual request time, over which
+ * slots are borrowed. A slot in another region is occupied for the request and
+ * the round trip; beyond this limit it serves two fifths or less of what it
+ * serves locally. With requests of 52 ms over 110 ms, borrowing made the p99
+ * with one slow target 2.7 times the usual instead of 1.6, and reduced the
+ * goodput of both regions. */
 const MOST_TRIPS = 1.5;
 
-/** Waiting requests that would be served sooner from afar over this link.
- * `hasOwn`: there are slots in this VM's region, so that waiting leads to one. */
+/** Number of waiting requests that would be served sooner over this link.
+ * `hasOwn`: this VM's region has slots, so waiting leads to one. */
 export function wantedAfar(
   service: ServiceState,
   link: LinkState,
--- a/packages/decisions/src/request_state.ts
+++ b/packages/decisions/src/request_state.ts
@@ -1,6 +1,5 @@
 /**
- * One request as the decisions see it, from its arrival to its last attempt's
- * end.
+ * State of one request from its arrival to the end of its last attempt.
  *
  * @module
  */
@@ -27,9 +26,9 @@
   readonly repeat: Repeat;
   readonly arrivedAt: number;
   readonly deadlineAt: number;
-  /** When its wait ends without a slot. */
+  /** Time at which it is refused if it still waits. */
   giveUpAt: number;
-  /** Where it waits, while it waits. */
+  /** The queue that it waits in, if any. */
   queue: CallerQueue | undefined;
   previous: RequestState | undefined;
   next: RequestState | undefined;
@@ -37,11 +36,11 @@
   running: Attempt[];
   /** Attempts started so far. */
   attempts: number;
-  /** An attempt may have run it, so that "not run" may not be said. */
+  /** An attempt may have run it, so it must not be reported as not run. */
   mayHaveRun: boolean;
-  /** Its caller has its answer, or has gone, or an answer has begun. */
+  /** It was refused, its caller disconnected, or a response has begun. */
   settled: boolean;
-  /** Target of the last failed attempt, not to be tried next. */
+  /** Target of the last failed or late attempt, to be avoided next. */
   avoid: TargetState | undefined;
   /** Neighbours in the list of attempts that may be hedged. */
   hedgePrevious: RequestState | undefined;
--- a/packages/decisions/src/requests.ts
+++ b/packages/decisions/src/requests.ts
@@ -1,5 +1,5 @@
 /**
- * The life of a request up to its dispatch: let in, waiting, started.
+ * The path of a request up to its dispatch: admission, waiting, start.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 import type { TargetState } from "./target_state.ts";
 import type { VmState } from "./vm_state.ts";
 
-/** Callers passed over in one search because they hold their share. */
+/** Callers skipped in one search because they hold their full share of slots. */
 const MOST_PASSED_OVER = 8;
 
-/** Takes a request in. */
+/** Starts, queues or refuses a new request. */
 export function arrive(
   vm: VmState,
   event: Arrive,
@@ -51,7 +51,7 @@
   }
 }
 
-/** Starts the next waiting request if there is a slot for it. */
+/** Starts the next waiting request if a suitable slot is free. */
 export function startNext(
   vm: VmState,
   req: RequestState,
@@ -70,8 +70,9 @@
   return true;
 }
 
-/** Requests that share a request's wait: not those of a caller over its share,
- * whose backlog is no reason to send others' requests far away. */
+/** Requests that count towards a request's expected wait. Requests of a caller
+ * over its share don't count for others: its backlog is no reason to send their
+ * requests to distant targets. */
 function waitingWith(req: RequestState): number {
   const { service } = req;
   return service.isOverShare(req.caller)
@@ -80,10 +81,10 @@
 }
 
 /**
- * The waiting request whose turn it is, if its class may take a slot: of the
- * best class, but a caller that holds its share goes after all others, of
- * whatever class. Otherwise a caller with requests of a good class could keep
- * everyone else's requests of the next class from ever being served.
+ * The waiting request to serve next, if its class may take a slot: the first of
+ * the best class, but callers that hold their full share come after all others,
+ * whatever their class. Otherwise one caller's requests of a high class could
+ * starve all other callers' requests of the next class.
  */
 export function nextInTurn(
   service: ServiceState,
@@ -99,7 +100,7 @@
   return overShare;
 }
 
-/** Ends a wait whose time has come. */
+/** Refuses a waiting request whose maximum wait has passed. */
 export function giveUp(
   vm: VmState,
   req: RequestState,
@@ -109,7 +110,8 @@
   finish(vm, req, { reason: "waited-too-long", ...ctx });
 }
 
-/** Whether a class may take one more slot, given what is kept for better. */
+/** Whether a class may take one more slot, given the slots reserved for better
+ * classes. */
 export function mayTakeSlot(service: ServiceState, cls: ClassState): boolean {
   if (cls.reservedAbove === 0) return true;
   const kept = Math.round(cls.reservedAbove * service.heldSlots);
@@ -137,7 +139,8 @@
   return true;
 }
 
-/** The head of the first caller that is below its share, if one is near. */
+/** The first request of the first caller below its share, among the first few
+ * callers in rotation. */
 function nextCaller(service: ServiceState, cls: ClassState): RequestState {
   const queue = cls.waiting;
   const limit = Math.min(queue.callers, MOST_PASSED_OVER);
@@ -161,7 +164,7 @@
   vm.giveUps.push(req);
 }
 
-/** Queues a request whose attempt failed, before all others of its class. */
+/** Queues a request whose attempt failed, ahead of all others of its class. */
 export function enqueueAgain(
   vm: VmState,
   req: RequestState,
@@ -176,7 +179,8 @@
   vm.giveUps.push(req);
 }
 
-/** Takes a request out of its queue, and passes its caller's turn on. */
+/** Removes a request from its queue. If it was the next one, its caller moves
+ * to the end of the rotation. */
 export function unqueue(req: RequestState): void {
   const queue = req.queue?.owner;
   if (queue === undefined) return;
@@ -186,7 +190,7 @@
   req.service.waiting--;
 }
 
-/** Takes a slot and sends an attempt. */
+/** Occupies a slot and dispatches an attempt. */
 export function start(
   vm: VmState,
   req: RequestState,
@@ -218,7 +222,7 @@
   });
 }
 
-/** Gives a request its final answer without a target's. */
+/** Refuses a request: it ends without a response from a target. */
 export function finish(
   vm: VmState,
   req: RequestState,
--- a/packages/decisions/src/retry_after.ts
+++ b/packages/decisions/src/retry_after.ts
@@ -1,12 +1,11 @@
 /**
- * When a refused caller is told to come back.
+ * Computes the Retry-After time of refused callers.
  *
- * Answers callers that come back together. With one fixed time all that were
- * refused in a second return in one second, are refused again, and the peak
- * repeats; one notices refusals in waves of that period, and saturation that
- * outlasts its cause. So each refused caller is given the next place on a line
- * on which only a share of what is served may come back each second, and comes
- * back at a random time around its place.
+ * With one fixed time, all callers refused in one second would retry in one
+ * second and be refused again: refusals would come in waves, and saturation
+ * would outlast its cause. So refused callers get consecutive return times,
+ * spaced so that returning callers make up only a share of the requests served
+ * per second, and each time is jittered.
  *
  * @module
  */
@@ -14,38 +13,38 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 
-/** Earliest return: the header counts whole seconds. */
+/** Minimum delay: the header has a resolution of whole seconds. */
 const EARLIEST_MS = 1_000;
-/** Latest return, so that a caller is never sent away for minutes. */
+/** Maximum delay, so that no caller has to wait for minutes. */
 const LATEST_MS = 30_000;
-/** Window in which answers are counted. */
+/** Window in which responses are counted. */
 const WINDOW_MS = 1_000;
-/** Share of what is served that returning callers may make up: half of what an
- * ordinary day at 80 % load leaves. */
+/** Returning callers as a share of the requests served: half of the capacity
+ * left at 80 % load. */
 const RETURN_SHARE = 0.1;
-/** Span around its place in which a caller returns, as a share of the time. */
+/** Maximum jitter, as a share of the delay. */
 const JITTER = 0.5;
 
-/** Gives out places to come back. */
+/** Assigns return times to refused callers. */
 export class RetryAfter {
   readonly #rng: RandomGenerator;
   #windowStart = 0;
   #answered = 0;
   #answeredBefore = 0;
-  /** Time of the next place. */
+  /** Return time assigned last. */
   #nextAt = 0;
 
   constructor(rng: RandomGenerator) {
     this.#rng = rng;
   }
 
-  /** A request was answered. */
+  /** Records that a request was served. */
   answered(now: number): void {
     this.#roll(now);
     this.#answered++;
   }
 
-  /** A request is refused; returns when to come back, in ms from now. */
+  /** Assigns the next return time; returns the delay until then, in ms. */
   refused(now: number): number {
     this.#roll(now);
     const served = Math.max(1, this.#answeredBefore, this.#answered);
--- a/packages/decisions/src/service_state.ts
+++ b/packages/decisions/src/service_state.ts
@@ -1,6 +1,6 @@
 /**
- * One service as this VM knows it: its targets, its waiting requests and what
- * its requests usually take.
+ * State of one service on this VM: its targets, its waiting requests and the
+ * usual time of its requests.
  *
  * @module
  */
@@ -13,53 +13,54 @@
 import { RetryBudget } from "./retry_budget.ts";
 import type { TargetState } from "./target_state.ts";
 
-/** Memory of the demand that plans are made from. Shares of callers move with
- * their cached look-ups, over seconds; faster changes are the lending's. */
+/** Time constant for smoothing the demand that plans are made from. Callers
+ * move between regions with their cached look-ups, over seconds; faster changes
+ * are handled by lending. */
 const DEMAND_MS = 10_000;
 
 /** A class of requests within one service. */
 export interface ClassState {
   readonly policy: ClassPolicy;
-  /** Place in `ServiceState.classes`. */
+  /** Index in `ServiceState.classes`. */
   readonly index: number;
   readonly waiting: FairQueue;
-  /** What its requests take from dispatch to end, in milliseconds. */
+  /** Time of its requests from dispatch to end, in milliseconds. */
   readonly time: Estimator;
-  /** Share of the slots kept for better classes. */
+  /** Share of the slots reserved for better classes. */
   reservedAbove: number;
   /** Attempts running. */
   inUse: number;
-  /** Ends of the list of attempts that may be hedged, oldest first. */
+  /** Head and tail of the list of attempts that may be hedged, oldest first. */
   hedgeHead: RequestState | undefined;
   hedgeTail: RequestState | undefined;
 }
 
-/** A peer's standing question. */
+/** A peer's pending slot request. */
 export interface StandingAsk {
   readonly from: VmId;
   readonly region: RegionId;
   slots: number;
   readonly rank: number;
-  /** Expected waits there, of its best rank and of all, in ms. */
+  /** Expected waits there, for its best rank and for all requests, in ms. */
   rankWaitMs: number;
   waitMs: number;
   readonly expiresAt: number;
 }
 
-/** What this VM has asked its peers. */
+/** This VM's last slot request to its peers. */
 export interface AskState {
-  /** Slots last asked for; 0: no question stands. */
+  /** Slots last requested; 0 if no request is pending. */
   slots: number;
   at: number;
 }
 
-/** All that belongs to one service. */
+/** State of one service. */
 export class ServiceState {
-  /** Targets where this VM may use slots, in no order. */
+  /** Targets where this VM may use slots, in no particular order. */
   held: TargetState[] = [];
   /** All known targets. */
   readonly targets = new Set<TargetState>();
-  /** Sum of slots that may be used, of targets that are open. */
+  /** Total slots that may be used at open targets. */
   heldSlots = 0;
   /** Attempts running. */
   inUse = 0;
@@ -67,17 +68,17 @@
   waiting = 0;
   /** Best rank first. */
   classes: ClassState[] = [];
-  /** What any of its requests takes. */
+  /** Time of its requests of all classes. */
   readonly time = new Estimator();
   readonly budget = new RetryBudget();
   readonly inUseBy = new Map<CallerId, number>();
   readonly asks = new Map<VmId, StandingAsk>();
   readonly asked: AskState = { slots: 0, at: Number.NEGATIVE_INFINITY };
   readonly askedAfar: AskState = { slots: 0, at: Number.NEGATIVE_INFINITY };
-  /** Slots that its requests keep busy or wait for, smoothed. */
+  /** Smoothed number of slots that its requests occupy or wait for. */
   demand = 0;
   #demandAt = Number.NEGATIVE_INFINITY;
-  /** Where the last search for a target ended. */
+  /** Index in `held` at which the next search for a target starts. */
   turn = 0;
 
   readonly id: ServiceId;
@@ -86,7 +87,7 @@
     this.id = id;
   }
 
-  /** Counts again what may be used, after slots or lists changed. */
+  /** Recomputes the usable slots after slots or lists changed. */
   recount(): void {
     this.held = [];
     this.heldSlots = 0;
@@ -97,7 +98,8 @@
     }
   }
 
-  /** Slots of a target were taken or given. */
+  /** Updates the usable slots after `slots` of a target were added (positive)
+   * or removed. */
   changeHeld(target: TargetState, slots: number): void {
     if (!target.open) return;
     this.heldSlots += slots;
@@ -106,7 +108,7 @@
     if (target.held <= 0 && at >= 0) this.held.splice(at, 1);
   }
 
-  /** Takes over the classes of a policy; waiting requests must have left. */
+  /** Applies the classes of a policy. Waiting requests must have left before. */
   setClasses(policies: readonly ClassPolicy[]): void {
     const byRank = [...policies].sort((a, b) => a.rank - b.rank);
     const old = new Map(this.classes.map((cls) => [cls.policy.id, cls]));
@@ -124,7 +126,7 @@
     }));
   }
 
-  /** Smooths the demand up to now. */
+  /** Updates the smoothed demand. */
   measure(now: number): void {
     const slots = this.inUse + this.waiting;
     const weight = 1 - Math.exp((this.#demandAt - now) / DEMAND_MS);
@@ -135,14 +137,14 @@
   /** Slots that one caller may hold while others wait. */
   callerLimit = Number.POSITIVE_INFINITY;
 
-  /** Whether a caller holds its share. */
+  /** Whether a caller holds its full share of slots. */
   isOverShare(caller: CallerId): boolean {
     if (this.inUse === 0) return false;
     return (this.inUseBy.get(caller) ?? 0) >= this.callerLimit;
   }
 
-  /** Waiting requests of a class but those of its longest caller, if that one
-   * holds its share of slots already. */
+  /** Waiting requests of a class, without those of its longest queue's caller
+   * if that caller holds its full share of slots. */
   fairlyWaiting(cls: ClassState): number {
     const { size } = cls.waiting;
     if (size === 0) return 0;
@@ -150,7 +152,7 @@
     return this.isOverShare(longest.caller) ? size - longest.size : size;
   }
 
-  /** Fairly waiting requests of this rank or a better one. */
+  /** Waiting requests of this rank or better, counted by {@link fairlyWaiting}. */
   waitingTo(rank: number): number {
     let count = 0;
     for (const cls of this.classes) {
@@ -164,7 +166,7 @@
     return this.workMs(ahead + 1);
   }
 
-  /** Time that the slots held take for a number of requests, in ms. */
+  /** Time in which the held slots serve this number of requests, in ms. */
   workMs(requests: number): number {
     return requests * this.time.mean / Math.max(1, this.heldSlots);
   }
--- a/packages/decisions/src/silence.ts
+++ b/packages/decisions/src/silence.ts
@@ -1,17 +1,19 @@
 /**
- * Which VMs have surely stopped using what a plan took from them.
+ * Determines which VMs have certainly stopped using slots that a plan took from
+ * them.
  *
- * Answers VMs that die, are paused or are cut off while the planner moves their
- * slots. A silent VM may still use them: it may be alive and unheard. Given on
- * too early, a slot is used twice and its target has one request too many;
- * never given on, a dead VM's slots are lost for good.
+ * VMs may die, be paused or be cut off while the planner moves their slots. An
+ * unresponsive VM may still be running and using them. If a slot is reassigned
+ * too early, it is used twice and its target gets one request too many; if it
+ * is never reassigned, a dead VM's slots are lost for good.
  *
- * A VM may use a plan only while others who follow the same plan vouch for it.
- * So once every other holder has confirmed a newer plan, nobody vouches for the
- * silent one, and it stops after its term and after the longest request that it
- * may have started. With two silent VMs nothing is certain, since they may be
- * cut off together and vouch for each other; then only the platform's word that
- * a VM is gone helps.
+ * A VM may use a plan only while other VMs that follow the same plan confirm to
+ * it that the plan is valid. Once every other holder has confirmed a newer
+ * plan, nobody confirms the old plan to the unresponsive VM, so that VM stops
+ * after its term plus the longest request that it may have started. With two
+ * unresponsive VMs no time is long enough, since they may be cut off together
+ * and confirm the plan to each other; then only the platform's report that a VM
+ * is gone helps.
  *
  * @module
  */
@@ -19,42 +21,46 @@
 import type { VmId } from "@poplarthread/ids";
 import type { Holding } from "./plan_transition.ts";
 
-/** Longest term of a plan that was vouched for; the daemon's terms are no longer. */
+/** Longest term for which other VMs confirm a plan; the daemon's terms are no
+ * longer. */
 export const TERM_MS = 15_000;
-/** Longest deadline of a request, and so of its loan of a slot. */
+/** Longest deadline of a request, and so of its use of a lent slot. */
 const LONGEST_REQUEST_MS = 30_000;
-/** Clocks that drift by 1 %, and a pause between reading the clock and sending. */
+/** Allowance for clock drift of 1 %, and for a pause between reading the clock
+ * and sending. */
 const MARGIN_MS = 1_000;
-/** From when nobody vouches for a VM until it has stopped. */
+/** Time from the moment when no VM confirms the old plan until the unresponsive
+ * VM has certainly stopped. */
 export const STOPPED_AFTER_MS = TERM_MS + LONGEST_REQUEST_MS + MARGIN_MS;
 
-/** Since when nobody can have vouched for a silent VM. */
+/** An unresponsive VM, and since when no other VM can have confirmed its plan. */
 export interface Silence {
   readonly vm: VmId;
-  /** The lowering that it has not confirmed. */
+  /** Sequence of the lowering that it has not confirmed. */
   readonly loweredIn: number;
-  /** On the planner's clock. */
+  /** Time on the planner's clock. */
   readonly since: number;
 }
 
-/** What the planner knows when it looks. */
+/** State that the planner knows at the time of the check. */
 export interface SilenceInput {
-  /** Rows of the plan in force, of targets and links. */
+  /** Holdings of the plan in force, for targets and links. */
   readonly holdings: readonly Holding[];
-  /** Highest sequence that each VM's present instance confirmed. */
+  /** Highest sequence that each VM's current instance has confirmed. */
   readonly confirmed: ReadonlyMap<VmId, number>;
-  /** VMs whose instance that the plan names has ended, for longer than any request. */
+  /** VMs whose instance named in the plan ended longer ago than any request
+   * lasts. */
   readonly gone: ReadonlySet<VmId>;
   readonly now: number;
 }
 
-/** Silent VMs, and those that have stopped. */
+/** Unresponsive VMs, and VMs that have certainly stopped. */
 export interface SilenceResult {
   readonly silences: readonly Silence[];
   readonly stopped: ReadonlySet<VmId>;
 }
 
-/** Looks at the VMs once more. A planner that starts begins with no silences. */
+/** Updates the unresponsive VMs. A newly started planner passes an empty list. */
 export function watchSilence(
   before: readonly Silence[],
   input: SilenceInput,
@@ -95,7 +101,8 @@
   return earlier ?? { vm, loweredIn, since: input.now };
 }
 
-/** The last plan that took something from a VM which it may still hold. */
+/** Sequence of the last plan that lowered a VM's slots while it may still use
+ * more. */
 function lastLowering(
   vm: VmId,
   holdings: readonly Holding[],
--- a/packages/decisions/src/steering.ts
+++ b/packages/decisions/src/steering.ts
@@ -1,6 +1,6 @@
 /**
- * The face of the decisions: one `Steering` per VM takes events and says what
- * to do.
+ * Public interface of this package: one `Steering` per VM takes events and
+ * returns the actions to carry out.
  *
  * @module
  */
@@ -26,15 +26,15 @@
 import type { ServiceState } from "./service_state.ts";
 import { VmState } from "./vm_state.ts";
 
-/** What a VM's decisions start from. */
+/** Settings of one VM's `Steering`. */
 export interface SteeringOptions {
   readonly self: VmId;
   readonly policy: Policy;
-  /** Seeds the spread of retry times. */
+  /** Seeds the jitter of the Retry-After times. */
   readonly seed: number;
 }
 
-/** One target as a VM sees it, for operators. */
+/** Operators' view of one target, as this VM sees it. */
 export interface TargetView {
   readonly target: TargetId;
   readonly service: ServiceId;
@@ -43,25 +43,25 @@
   readonly borrowed: number;
   readonly inUse: number;
   readonly standing: Standing | "leaving" | "drained";
-  /** Time its answers take against the usual; 1 is usual. */
+  /** Response time relative to the usual one; 1 is usual. */
   readonly ratio: number;
 }
 
-/** One service as a VM sees it, for operators and the planner. */
+/** This VM's view of one service, for operators and the planner. */
 export interface ServiceView {
   readonly service: ServiceId;
   readonly heldSlots: number;
   readonly inUse: number;
   readonly waiting: number;
-  /** Slots that its requests keep busy or wait for, smoothed: the planner's
-   * measured demand. */
+  /** Smoothed number of slots that its requests occupy or wait for; the
+   * planner's measured demand. */
   readonly demand: number;
   /** Expected wait of a request that arrives now, in ms. */
   readonly waitMs: number;
 }
 
-/** The decisions of one VM. Pure: the same events at the same times give the
- * same effects. */
+/** The decision logic of one VM. Deterministic: the same events at the same
+ * times give the same effects. */
 export class Steering {
   readonly self: VmId;
   readonly #vm: VmState;
@@ -75,8 +75,8 @@
     });
   }
 
-  /** When the next `tick` is wanted, on the clock of `now`; undefined: none.
-   * May be early or late by a few milliseconds without harm. */
+  /** Time at which the next `tick` is due, on the clock of `now`; undefined if
+   * none is. A few milliseconds early or late do no harm. */
   get nextTick(): number | undefined {
     const vm = this.#vm;
     let at = vm.giveUps.peek()?.giveUpAt ?? Number.POSITIVE_INFINITY;
@@ -94,8 +94,8 @@
     return Number.isFinite(at) ? at : undefined;
   }
 
-  /** Takes one event in. `now` never goes back. The effects are to be carried
-   * out in their order. */
+  /** Processes one event. `now` must not decrease. The returned effects must be
+   * carried out in their order. */
   handle(event: SteeringEvent, now: number): readonly Effect[] {
     const out: Effect[] = [];
     const ctx = { now, out };
@@ -107,7 +107,7 @@
     return out;
   }
 
-  /** What this VM sees of its targets. */
+  /** This VM's view of its targets. */
   targets(now: number): TargetView[] {
     const views: TargetView[] = [];
     for (const target of this.#vm.targets.values()) {
@@ -132,7 +132,7 @@
     return views;
   }
 
-  /** What this VM sees of its services. */
+  /** This VM's view of its services. */
   services(): ServiceView[] {
     return [...this.#vm.services.values()].map((service) => ({
       service: service.id,
@@ -146,7 +146,8 @@
     }));
   }
 
-  /** Changes the state; returns the service to hand slots out for. */
+  /** Updates the state; returns the service whose free slots are to be
+   * assigned. */
   #take(
     event: SteeringEvent,
     ctx: { now: number; out: Effect[] },
--- a/packages/decisions/src/switch_check.ts
+++ b/packages/decisions/src/switch_check.ts
@@ -1,9 +1,10 @@
 /**
- * Whether the traffic of the moment could be carried under another policy,
- * asked before it is switched to.
+ * Checks, before a switch to another policy, whether the current traffic could
+ * be served under it.
  *
- * Answers a switch that is right on paper and wrong at this hour: a maintenance
- * preset that leaves half of the targets, taken into force on a busy evening.
+ * This catches switches that are valid in general but wrong at the current
+ * load, such as a maintenance preset that leaves half of the targets, switched
+ * to on a busy evening.
  *
  * @module
  */
@@ -13,17 +14,17 @@
 import type { MeasuredDemand } from "./planner.ts";
 import type { Policy, ServicePolicy } from "./policy.ts";
 
-/** One reason why a policy can't be switched to as it is. */
+/** A reason why a policy can't be switched to, or a warning about it. */
 export interface SwitchFinding {
   readonly kind: "service-short" | "region-short" | "fallback-short";
   readonly service: ServiceId;
   readonly region?: RegionId;
   readonly message: string;
-  /** A warning doesn't forbid the switch. */
+  /** A warning doesn't prevent the switch. */
   readonly severity: "error" | "warning";
 }
 
-/** Findings on a switch to `next` at the demand that is measured now. */
+/** Checks a switch to `next` against the currently measured demand. */
 export function checkSwitch(
   next: Policy,
   now: { demand: readonly MeasuredDemand[]; vms: readonly VmEntry[] },
@@ -56,7 +57,7 @@
   }];
 }
 
-/** A region that is short can borrow over its links, within their limits. */
+/** A region that lacks slots can borrow over its links, up to their limits. */
 function regionFindings(
   next: Policy,
   service: ServicePolicy,
--- a/packages/decisions/src/target_state.ts
+++ b/packages/decisions/src/target_state.ts
@@ -1,6 +1,6 @@
 /**
- * One target as this VM knows it: the slots that it holds there, and what it
- * has seen of it.
+ * State of one target on this VM: the slots that this VM holds there, and the
+ * target's health.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 } from "@poplarthread/ids";
 import { Belief } from "./belief.ts";
 
-/** Slots borrowed from one VM, with one end. */
+/** Slots borrowed from one VM with a common expiry. */
 export interface Loan {
   readonly from: VmId;
   slots: number;
@@ -25,20 +25,20 @@
 export class TargetState {
   readonly belief = new Belief();
   leaving = false;
-  /** The last target list did not name it. */
+  /** The latest target list did not name it. */
   gone = false;
   drained = false;
   cold = false;
   /** Slots that the plan allots to this VM. */
   owned = 0;
-  /** Of these, lent to other VMs. */
+  /** Owned slots that are lent to other VMs. */
   lent = 0;
-  /** Slots of other VMs that this one may use. */
+  /** Slots borrowed from other VMs. */
   borrowed = 0;
   readonly loans: Loan[] = [];
   /** Attempts running. */
   inUse = 0;
-  /** Since when a borrowed slot has been free. */
+  /** Time since which a borrowed slot may have been idle. */
   idleSince = 0;
 
   readonly id: TargetId;
@@ -65,8 +65,8 @@
     return this.owned - this.lent + this.borrowed;
   }
 
-  /** Slots without an attempt. Negative after a plan lowered the target while
-   * attempts ran. */
+  /** Slots without an attempt. Negative after a plan lowered the target's slots
+   * while attempts ran. */
   get free(): number {
     return this.owned - this.lent + this.borrowed - this.inUse;
   }
@@ -76,12 +76,13 @@
     return Math.max(0, this.owned - this.lent - this.inUse);
   }
 
-  /** Free slots to give back. */
+  /** Free borrowed slots, which can be returned. */
   get freeBorrowed(): number {
     return Math.min(this.borrowed, Math.max(0, this.free));
   }
 
-  /** New work may go there as far as the lists say. */
+  /** Whether the target may take new work according to the target list and the
+   * drains. */
   get open(): boolean {
     return !this.leaving && !this.drained;
   }
--- a/packages/decisions/src/vm_state.ts
+++ b/packages/decisions/src/vm_state.ts
@@ -1,6 +1,5 @@
 /**
- * All that one VM's decisions remember: lists, slots, waiting and running
- * requests.
+ * State of one VM's decisions: lists, slots, waiting and running requests.
  *
  * @module
  */
@@ -25,13 +24,13 @@
 import { ServiceState } from "./service_state.ts";
 import { TargetState } from "./target_state.ts";
 
-/** A slot that stays taken for a moment after its attempt broke off. */
+/** A slot that stays occupied for a short time after its attempt was aborted. */
 interface Lingering {
   readonly target: TargetState;
   readonly until: number;
 }
 
-/** State of one VM, and how lists and plans change it. */
+/** State of one VM, and its updates by lists and plans. */
 export class VmState {
   readonly self: VmId;
   policy: Policy;
@@ -43,15 +42,16 @@
   readonly giveUps = new GiveUpHeap();
   readonly retryAfter: RetryAfter;
   links = new Map<RegionId, LinkState>();
-  /** Live VMs of this region but this one. */
+  /** Live VMs of this region, except this one. */
   neighbours: VmId[] = [];
   /** Live VMs of other regions. */
   afar = new Map<RegionId, VmId[]>();
   plan: Plan | undefined;
   planEndsAt = Number.POSITIVE_INFINITY;
-  /** The plan ran out: its slots may be others' by now. */
+  /** The plan expired: its slots may have been reassigned. */
   expired = false;
-  /** A plan whose lowering is not complete. */
+  /** Sequence of a plan not yet confirmed: more slots may still be in use than
+   * it allots. */
   unconfirmed: number | undefined;
   readonly lost = new Set<RegionId>();
   lingering: Lingering[] = [];
@@ -136,14 +136,14 @@
     this.#setLinks();
   }
 
-  /** The plan's time ran out without a renewal. */
+  /** Stops using a plan that expired without a renewal. */
   expire(): void {
     this.expired = true;
     for (const target of this.targets.values()) target.owned = 0;
     this.recountAll();
   }
 
-  /** Whether no more is held than the plan allots, loans to others included. */
+  /** Whether no more slots are in use than the plan allots, loans included. */
   get withinPlan(): boolean {
     for (const target of this.targets.values()) {
       if (target.inUse > target.held) return false;
@@ -151,7 +151,7 @@
     return true;
   }
 
-  /** Extra time of a target for its place. */
+  /** Extra time of a target due to its location, in ms. */
   extraMs(target: TargetState): number {
     return distanceMs(target, this, this.links);
   }
@@ -182,7 +182,7 @@
     return target;
   }
 
-  /** A target that was gone and is named again is a new life of it. */
+  /** A target that had left the list and is named again is a new instance. */
   #revive(target: TargetState): void {
     target.leaving = false;
     target.cold = true;
@@ -198,7 +198,8 @@
     }
   }
 
-  /** Allotments in force: the plan's, or its fallback's for a lost region. */
+  /** Allotments in force: the plan's, or those of its fallback while a region
+   * is lost. */
   #allotments(): readonly Allotment[] {
     return this.#fallback()?.allotments ?? this.plan?.allotments ?? [];
   }
