--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -16,14 +16,14 @@
 /** A queue in which the shortest wait exceeds this for half a second or more is
  * a standing queue, not a burst. This is half of the wait limit below, so that
  * a queue kept at that limit still counts as standing. */
-const STANDING_FROM_MS = 100;
+const STANDING_THRESHOLD_MS = 100;
 
 /**
  * Maximum wait in a standing queue. After saturation, at 80 % load, a fifth of
  * the capacity is left to drain the queue, so a wait of W takes 5 W to
  * disappear: 200 ms takes one second, half of the 2 s allowed for recovery.
  */
-const STANDING_WAIT_MS = 200;
+const MAX_STANDING_WAIT_MS = 200;
 
 /**
  * The same for a class that has lower classes. Its queue is served before
@@ -32,7 +32,7 @@
  * With the shorter limit, a first class that fills 92 % of the slots lost 1 %
  * of its requests to random bursts.
  */
-const STANDING_WAIT_FIRST_MS = 600;
+const MAX_STANDING_WAIT_UPPER_MS = 600;
 
 /** Decision on a request that finds no free slot. */
 export type Admission =
@@ -57,20 +57,22 @@
   req: Candidate,
   now: number,
 ): Admission {
-  const usable = req.deadlineAt - now - req.class.time.mean;
-  const longest = Math.min(req.class.policy.maxWaitMs, usable);
-  const bound = Math.min(longest, boundOf(service, req.class, now));
-  const better = waitingBefore(service, req.class);
+  const usableMs = req.deadlineAt - now - req.class.time.mean;
+  const maxWaitMs = Math.min(req.class.policy.maxWaitMs, usableMs);
+  const limitMs = Math.min(maxWaitMs, standingLimitMs(service, req.class, now));
+  const better = waitingInBetterClasses(service, req.class);
   const queue = req.class.waiting;
-  if (service.waitMs(better + fairPosition(queue, req.caller)) > bound) {
+  if (
+    service.waitMs(better + roundRobinPosition(queue, req.caller)) > limitMs
+  ) {
     return REFUSED;
   }
-  const giveUpAt = now + longest;
-  if (service.waitMs(better + queue.size) <= bound) {
+  const giveUpAt = now + maxWaitMs;
+  if (service.waitMs(better + queue.size) <= limitMs) {
     return { kind: "wait", giveUpAt };
   }
-  const most = queue.longest()?.size ?? 0;
-  return most > queue.sizeOf(req.caller) + 1
+  const longestSize = queue.longest()?.size ?? 0;
+  return longestSize > queue.sizeOf(req.caller) + 1
     ? { kind: "replace", giveUpAt }
     : REFUSED;
 }
@@ -83,21 +85,24 @@
 }
 
 function isStanding(queue: FairQueue, now: number): boolean {
-  return queue.size > 0 && queue.shortestWait(now) > STANDING_FROM_MS;
+  return queue.size > 0 && queue.shortestWait(now) > STANDING_THRESHOLD_MS;
 }
 
-function boundOf(
+function standingLimitMs(
   service: ServiceState,
   cls: ClassState,
   now: number,
 ): number {
   if (!isStanding(cls.waiting, now)) return Number.POSITIVE_INFINITY;
   const isLast = cls.index === service.classes.length - 1;
-  return isLast ? STANDING_WAIT_MS : STANDING_WAIT_FIRST_MS;
+  return isLast ? MAX_STANDING_WAIT_MS : MAX_STANDING_WAIT_UPPER_MS;
 }
 
 /** Waiting requests of better classes. */
-function waitingBefore(service: ServiceState, cls: ClassState): number {
+function waitingInBetterClasses(
+  service: ServiceState,
+  cls: ClassState,
+): number {
   let count = 0;
   for (let i = 0; i < cls.index; i++) {
     count += service.fairlyWaiting(service.classes[i]!);
@@ -106,7 +111,7 @@
 }
 
 /** Requests served before a caller's next one under round robin. */
-function fairPosition(queue: FairQueue, caller: CallerId): number {
+function roundRobinPosition(queue: FairQueue, caller: CallerId): number {
   const own = queue.sizeOf(caller);
   const callers = queue.callers + (own === 0 ? 1 : 0);
   return Math.min(queue.size, (own + 1) * callers - 1);
--- a/packages/decisions/src/attempts.ts
+++ b/packages/decisions/src/attempts.ts
@@ -14,15 +14,15 @@
 import type { Effect } from "./effect.ts";
 import type { AttemptOutcome } from "./event.ts";
 import * as hedge from "./hedge.ts";
-import { place } from "./placement.ts";
+import { chooseTarget } from "./placement.ts";
 import type { Attempt, RequestState } from "./request_state.ts";
-import { enqueueAgain, finish, start, unqueue } from "./requests.ts";
+import { dequeue, refuse, requeue, start } from "./requests.ts";
 import type { ClassState, ServiceState } from "./service_state.ts";
 import type { VmState } from "./vm_state.ts";
 
 /** Maximum attempts per request. Together with the retry budget of the service,
  * it keeps a single request that crashes its targets from crashing many. */
-const MOST_ATTEMPTS = 3;
+const MAX_ATTEMPTS = 3;
 
 /** How long a slot stays occupied after its attempt was aborted, beyond the
  * one-way time to the target: within it the target learns that the connection
@@ -30,7 +30,7 @@
 const LINGER_MS = 5;
 
 /** Processes the end of an attempt. */
-export function ended(
+export function endAttempt(
   vm: VmState,
   event: { request: RequestState; attempt: number; outcome: AttemptOutcome },
   ctx: { now: number; out: Effect[] },
@@ -41,11 +41,11 @@
   req.running = req.running.filter((other) => other !== attempt);
   hedge.unwatch(req);
   freeSlot(vm, req, { attempt, outcome: event.outcome, now: ctx.now });
-  const { belief, id: target } = attempt.target;
-  const before = belief.failing;
-  learn(vm, req, { attempt, outcome: event.outcome, now: ctx.now });
-  const { failing } = belief;
-  if (failing !== before) {
+  const { health, id: target } = attempt.target;
+  const wasFailing = health.failing;
+  recordOutcome(vm, req, { attempt, outcome: event.outcome, now: ctx.now });
+  const { failing } = health;
+  if (failing !== wasFailing) {
     ctx.out.push({ kind: "belief-changed", target, failing });
   }
   afterAttempt(vm, req, { attempt, outcome: event.outcome, ...ctx });
@@ -54,7 +54,7 @@
 
 /** Processes the first byte of a response: from now on no other attempt may
  * win. */
-export function answering(
+export function startResponse(
   req: RequestState,
   attempt: number,
   out: Effect[],
@@ -65,17 +65,17 @@
 }
 
 /** Processes the caller's disconnect: nothing more is started for the request. */
-export function gone(vm: VmState, req: RequestState, out: Effect[]): void {
+export function abandon(vm: VmState, req: RequestState, out: Effect[]): void {
   req.settled = true;
   hedge.unwatch(req);
-  if (req.queue !== undefined) unqueue(req);
+  if (req.queue !== undefined) dequeue(req);
   cancelOthers(req, 0, out);
   if (req.running.length === 0) vm.requests.delete(req.request);
 }
 
 /** Sends late requests of a class to a second target while no requests wait and
  * the retry budget allows it. */
-export function hedgeLate(
+export function hedgeLateRequests(
   vm: VmState,
   cls: ClassState,
   ctx: { now: number; out: Effect[] },
@@ -85,9 +85,9 @@
     if (req === undefined) return;
     hedge.unwatch(req);
     if (req.settled || req.service.waiting > 0) continue;
-    if (req.attempts >= MOST_ATTEMPTS) continue;
+    if (req.attempts >= MAX_ATTEMPTS) continue;
     req.avoid = req.running[0]?.target;
-    const target = place(req.service, req, {
+    const target = chooseTarget(req.service, req, {
       distances: vm,
       ahead: 0,
       now: ctx.now,
@@ -117,46 +117,46 @@
     target.inUse--;
     return;
   }
-  const oneWay = (link?.roundTripMs ?? 0) / 2;
-  vm.lingering.push({ target, until: end.now + oneWay + LINGER_MS });
+  const oneWayMs = (link?.roundTripMs ?? 0) / 2;
+  vm.lingering.push({ target, until: end.now + oneWayMs + LINGER_MS });
 }
 
 /** Updates the target's health and the usual times from an attempt. */
-function learn(
+function recordOutcome(
   vm: VmState,
   req: RequestState,
   end: { attempt: Attempt; outcome: AttemptOutcome; now: number },
 ): void {
   const { attempt, now } = end;
-  const { belief } = attempt.target;
+  const { health } = attempt.target;
   switch (end.outcome) {
     case "answered": {
-      const way = vm.linkTo(attempt.target)?.roundTripMs ?? 0;
-      const took = Math.max(0.1, now - attempt.startedAt - way);
-      belief.answered(took / req.class.time.mean, now);
-      if (!belief.slow || mostAreSlow(req.service)) {
-        req.class.time.add(took);
-        req.service.time.add(took);
+      const roundTripMs = vm.linkTo(attempt.target)?.roundTripMs ?? 0;
+      const tookMs = Math.max(0.1, now - attempt.startedAt - roundTripMs);
+      health.recordResponse(tookMs / req.class.time.mean, now);
+      if (!health.slow || mostAreSlow(req.service)) {
+        req.class.time.add(tookMs);
+        req.service.time.add(tookMs);
       }
-      vm.retryAfter.answered(now);
+      vm.retryAfter.recordServed(now);
       return;
     }
     case "answered-error":
     case "failed-before-sent":
     case "failed-after-sent":
-      belief.failed(now);
+      health.recordFailure(now);
       return;
     case "refused-not-run":
-      belief.refused(now);
+      health.recordRefusal(now);
       return;
     case "leaving":
       attempt.target.leaving = true;
-      req.service.recount();
+      req.service.recountHeld();
       return;
     case "cancelled": {
       // Its time so far is a lower bound of its full time.
-      const soFar = (now - attempt.startedAt) / req.class.time.mean;
-      if (soFar > belief.ratio) belief.tookAtLeast(soFar);
+      const ratioSoFar = (now - attempt.startedAt) / req.class.time.mean;
+      if (ratioSoFar > health.ratio) health.recordLowerBound(ratioSoFar);
       return;
     }
   }
@@ -167,7 +167,7 @@
  * service. */
 function mostAreSlow(service: ServiceState): boolean {
   let slow = 0;
-  for (const { belief } of service.held) if (belief.slow) slow++;
+  for (const { health } of service.held) if (health.slow) slow++;
   return 2 * slow > service.held.length;
 }
 
@@ -190,47 +190,47 @@
     case "cancelled":
       if (!req.settled && req.running.length === 0) {
         req.mayHaveRun = true;
-        finish(vm, req, { reason: "attempts-failed", ...end });
+        refuse(vm, req, { reason: "attempts-failed", ...end });
       }
       return;
     case "failed-after-sent":
       req.mayHaveRun = true;
-      tryAgain(vm, req, { free: false, ...end });
+      retryOrRefuse(vm, req, { costsNoToken: false, ...end });
       return;
     case "failed-before-sent":
     case "refused-not-run":
-      tryAgain(vm, req, { free: false, ...end });
+      retryOrRefuse(vm, req, { costsNoToken: false, ...end });
       return;
     case "leaving":
-      tryAgain(vm, req, { free: true, ...end });
+      retryOrRefuse(vm, req, { costsNoToken: true, ...end });
       return;
   }
 }
 
 /** Queues a request again if it may be retried; otherwise ends it. A leaving
  * target costs no token: a drain must not use up the retry budget. */
-function tryAgain(
+function retryOrRefuse(
   vm: VmState,
   req: RequestState,
-  end: { attempt: Attempt; free: boolean; now: number; out: Effect[] },
+  end: { attempt: Attempt; costsNoToken: boolean; now: number; out: Effect[] },
 ): void {
   if (req.settled || req.running.length > 0) return;
-  if (mayTryAgain(req, end)) {
+  if (mayRetry(req, end)) {
     req.avoid = end.attempt.target;
-    enqueueAgain(vm, req, end.now);
+    requeue(vm, req, end.now);
     return;
   }
-  finish(vm, req, { reason: "attempts-failed", now: end.now, out: end.out });
+  refuse(vm, req, { reason: "attempts-failed", now: end.now, out: end.out });
 }
 
-function mayTryAgain(
+function mayRetry(
   req: RequestState,
-  end: { free: boolean; now: number },
+  end: { costsNoToken: boolean; now: number },
 ): boolean {
   if (req.mayHaveRun && req.repeat === "at-most-once") return false;
   if (req.deadlineAt - end.now <= req.class.time.mean) return false;
-  if (end.free) return true;
-  if (req.attempts >= MOST_ATTEMPTS) return false;
+  if (end.costsNoToken) return true;
+  if (req.attempts >= MAX_ATTEMPTS) return false;
   if (req.mayHaveRun && isOverloaded(req.service, end.now)) return false;
   return req.service.budget.spend();
 }
--- a/packages/decisions/src/exchange.ts
+++ b/packages/decisions/src/exchange.ts
@@ -9,33 +9,33 @@
 import type { Effect } from "./effect.ts";
 import type { Borrowed, LoanEnded } from "./event.ts";
 import * as lending from "./lending.ts";
-import { mostLookDead } from "./placement.ts";
-import { ASK_AFAR_AGAIN_MS, wantedAfar } from "./remote.ts";
-import { nextInTurn, startNext } from "./requests.ts";
-import type { ServiceState, StandingAsk } from "./service_state.ts";
+import { mostAreFailing } from "./placement.ts";
+import { MIN_REMOTE_REQUEST_INTERVAL_MS, slotsWantedOver } from "./remote.ts";
+import { nextWaiting, startNext } from "./requests.ts";
+import type { PendingSlotRequest, ServiceState } from "./service_state.ts";
 import type { VmState } from "./vm_state.ts";
 
 /** Slots that any caller may hold, however small its share. With fewer, two
  * concurrent requests of one caller could already exceed its share. */
-const LEAST_CALLER_LIMIT = 3;
+const MIN_CALLER_SLOTS = 3;
 
 /** Assigns the free slots of a service, and requests missing ones from other
  * VMs. */
-export function settle(
+export function assignSlots(
   vm: VmState,
   service: ServiceState,
   ctx: { now: number; out: Effect[] },
 ): void {
-  service.measure(ctx.now);
+  service.updateDemand(ctx.now);
   const share = vm.policy.callerShare * service.heldSlots;
-  service.callerLimit = Math.max(LEAST_CALLER_LIMIT, Math.ceil(share));
-  while (handOutOne(vm, service, ctx));
-  askNeighbours(vm, service, ctx);
-  askAfar(vm, service, ctx);
+  service.callerLimit = Math.max(MIN_CALLER_SLOTS, Math.ceil(share));
+  while (assignOne(vm, service, ctx));
+  requestFromNeighbours(vm, service, ctx);
+  requestFromOtherRegions(vm, service, ctx);
 }
 
 /** Adds slots that another VM lent. */
-export function borrowed(
+export function addLoan(
   vm: VmState,
   event: Borrowed,
   ctx: { now: number; out: Effect[] },
@@ -56,7 +56,7 @@
 }
 
 /** Takes back slots that this VM had lent. */
-export function loanEnded(
+export function endLoan(
   vm: VmState,
   event: LoanEnded,
 ): ServiceState | undefined {
@@ -79,52 +79,58 @@
     if (target.loans.length === 0) continue;
     // Slots in another region are kept longer, by the round trip that
     // requesting them again would take.
-    const away = 2 * (vm.linkTo(target)?.roundTripMs ?? 0);
-    const idle = !target.open ||
-      ctx.now - target.idleSince >= lending.IDLE_MS + away;
-    if (!idle) continue;
+    const extraIdleMs = 2 * (vm.linkTo(target)?.roundTripMs ?? 0);
+    const isIdle = !target.open ||
+      ctx.now - target.idleSince >= lending.MAX_BORROWED_IDLE_MS + extraIdleMs;
+    if (!isIdle) continue;
     const service = vm.services.get(target.service)!;
     while (target.freeBorrowed > 0) {
-      lending.giveBackOne(target, ctx.out);
+      lending.returnOne(target, ctx.out);
       service.changeHeld(target, -1);
     }
   }
 }
 
-function handOutOne(
+function assignOne(
   vm: VmState,
   service: ServiceState,
   ctx: { now: number; out: Effect[] },
 ): boolean {
-  const own = nextInTurn(service);
-  const ask = service.asks.size === 0
+  const local = nextWaiting(service);
+  const slotRequest = service.slotRequests.size === 0
     ? undefined
-    : lending.firstAsk(service, ctx.now);
-  if (ask !== undefined) {
-    const peerFirst = own === undefined ||
-      lending.peerGoesFirst(service, ask, own);
-    if (peerFirst && handToPeer(vm, service, { ask, ...ctx })) return true;
+    : lending.firstSlotRequest(service, ctx.now);
+  if (slotRequest !== undefined) {
+    const isPeerFirst = local === undefined ||
+      lending.peerHasPriority(service, slotRequest, local);
+    if (isPeerFirst && handOverToPeer(vm, service, { slotRequest, ...ctx })) {
+      return true;
+    }
   }
-  return own !== undefined && startNext(vm, own, ctx);
+  return local !== undefined && startNext(vm, local, ctx);
 }
 
-function handToPeer(
+function handOverToPeer(
   vm: VmState,
   service: ServiceState,
-  ctx: { ask: StandingAsk; now: number; out: Effect[] },
+  ctx: { slotRequest: PendingSlotRequest; now: number; out: Effect[] },
 ): boolean {
-  const { ask, now, out } = ctx;
-  const afar = !vm.neighbours.includes(ask.from);
-  const mostFail = mostLookDead(service);
-  const target = lending.slotFor(service, ask, { afar, mostFail, now });
-  if (target !== undefined) lending.handOver(target, ask.from, out);
-  else if (afar || !returnForPeer(service, out)) return false;
+  const { slotRequest, now, out } = ctx;
+  const isRemote = !vm.neighbours.includes(slotRequest.from);
+  const mostFailing = mostAreFailing(service);
+  const target = lending.targetWithSlotFor(service, slotRequest, {
+    isRemote,
+    mostFailing,
+    now,
+  });
+  if (target !== undefined) lending.handOverOne(target, slotRequest.from, out);
+  else if (isRemote || !returnForPeer(service, out)) return false;
   else {
-    lending.granted(service, ask);
+    lending.reduceRequest(service, slotRequest);
     return true;
   }
   service.changeHeld(target, -1);
-  lending.granted(service, ask);
+  lending.reduceRequest(service, slotRequest);
   return true;
 }
 
@@ -134,65 +140,65 @@
  * waited. */
 function returnForPeer(service: ServiceState, out: Effect[]): boolean {
   if (service.waiting > 0) return false;
-  const target = lending.idleBorrowed(service);
+  const target = lending.targetWithIdleLoan(service);
   if (target === undefined) return false;
-  lending.giveBackOne(target, out);
+  lending.returnOne(target, out);
   service.changeHeld(target, -1);
   return true;
 }
 
-function askNeighbours(
+function requestFromNeighbours(
   vm: VmState,
   service: ServiceState,
   ctx: { now: number; out: Effect[] },
 ): void {
-  const { asked } = service;
+  const { requestedNearby } = service;
   const slots = service.waiting;
-  if (slots === 0 && asked.slots === 0) return;
-  if (slots > 0 && ctx.now < askDueAt(service)) return;
-  asked.slots = slots;
-  asked.at = ctx.now;
+  if (slots === 0 && requestedNearby.slots === 0) return;
+  if (slots > 0 && ctx.now < slotRequestDueAt(service)) return;
+  requestedNearby.slots = slots;
+  requestedNearby.at = ctx.now;
   for (const peer of vm.neighbours) {
     const to = { vm: peer, region: vm.region };
-    ctx.out.push(lending.askEffect(service, to, slots));
+    ctx.out.push(lending.slotRequestEffect(service, to, slots));
   }
 }
 
 /** Time at which the next slot request for a service may be sent, or is due. */
-export function askDueAt(service: ServiceState): number {
-  const { asked } = service;
-  const wait = service.waiting > asked.slots
-    ? lending.ASK_AGAIN_MS
-    : lending.ASK_REFRESH_MS;
-  return asked.at + wait;
+export function slotRequestDueAt(service: ServiceState): number {
+  const { requestedNearby } = service;
+  const wait = service.waiting > requestedNearby.slots
+    ? lending.MIN_REQUEST_INTERVAL_MS
+    : lending.REQUEST_REFRESH_MS;
+  return requestedNearby.at + wait;
 }
 
-function askAfar(
+function requestFromOtherRegions(
   vm: VmState,
   service: ServiceState,
   ctx: { now: number; out: Effect[] },
 ): void {
-  const { askedAfar } = service;
-  if (service.waiting === 0 && askedAfar.slots === 0) return;
-  if (ctx.now - askedAfar.at < ASK_AFAR_AGAIN_MS) return;
-  if (!lending.allAsk(service, vm.neighbours, ctx.now)) return;
-  askedAfar.at = ctx.now;
-  askedAfar.slots = 0;
-  const hasOwn = service.held.some(({ region }) => region === vm.region);
+  const { requestedRemotely } = service;
+  if (service.waiting === 0 && requestedRemotely.slots === 0) return;
+  if (ctx.now - requestedRemotely.at < MIN_REMOTE_REQUEST_INTERVAL_MS) return;
+  if (!lending.allRequestSlots(service, vm.neighbours, ctx.now)) return;
+  requestedRemotely.at = ctx.now;
+  requestedRemotely.slots = 0;
+  const hasLocalSlots = service.held.some(({ region }) => region === vm.region);
   for (const link of vm.links.values()) {
-    if (vm.lost.has(link.to)) continue;
-    const slots = wantedAfar(service, link, hasOwn);
-    const peer = pick(vm.afar.get(link.to), ctx.now);
+    if (vm.lostRegions.has(link.to)) continue;
+    const slots = slotsWantedOver(service, link, hasLocalSlots);
+    const peer = pickRotating(vm.remoteVms.get(link.to), ctx.now);
     if (slots === 0 || peer === undefined) continue;
-    askedAfar.slots = slots;
+    requestedRemotely.slots = slots;
     const to = { vm: peer, region: link.to };
-    ctx.out.push(lending.askEffect(service, to, slots));
+    ctx.out.push(lending.slotRequestEffect(service, to, slots));
     return;
   }
 }
 
 /** Chooses one VM, rotating over time. */
-function pick(vms: readonly VmId[] | undefined, now: number) {
+function pickRotating(vms: readonly VmId[] | undefined, now: number) {
   if (vms === undefined || vms.length === 0) return undefined;
-  return vms[Math.floor(now / ASK_AFAR_AGAIN_MS) % vms.length];
+  return vms[Math.floor(now / MIN_REMOTE_REQUEST_INTERVAL_MS) % vms.length];
 }
--- a/packages/decisions/src/fair_queue.ts
+++ b/packages/decisions/src/fair_queue.ts
@@ -26,7 +26,7 @@
 
 /** Queues scanned when searching for the longest. A caller with much of the
  * load is found early: its queue returns to the front in each rotation. */
-const LONGEST_SCAN = 16;
+const MAX_SCANNED_QUEUES = 16;
 
 /** Window of the shortest wait: about ten usual requests. */
 const WINDOW_MS = 500;
@@ -35,8 +35,8 @@
 export class FairQueue {
   size = 0;
   #windowStart = 0;
-  #shortestNow = 0;
-  #shortestBefore = 0;
+  #shortestInWindow = 0;
+  #shortestInLastWindow = 0;
   #callers = new Map<CallerId, CallerQueue>();
   #front: CallerQueue | undefined;
 
@@ -44,20 +44,20 @@
    * window; 0 if the queue was empty at any time. A burst's wait reaches 0 once
    * it is served; that of a standing queue does not. */
   shortestWait(now: number): number {
-    this.#roll(now);
-    return Math.min(this.#shortestBefore, this.#shortestNow);
+    this.#rollWindow(now);
+    return Math.min(this.#shortestInLastWindow, this.#shortestInWindow);
   }
 
   /** Records that a request got its slot after this wait. */
-  served(waitedMs: number, now: number): void {
-    this.#roll(now);
-    this.#shortestNow = Math.min(this.#shortestNow, waitedMs);
+  recordWait(waitedMs: number, now: number): void {
+    this.#rollWindow(now);
+    this.#shortestInWindow = Math.min(this.#shortestInWindow, waitedMs);
   }
 
-  #roll(now: number): void {
+  #rollWindow(now: number): void {
     if (now - this.#windowStart < WINDOW_MS) return;
-    this.#shortestBefore = this.#shortestNow;
-    this.#shortestNow = Number.POSITIVE_INFINITY;
+    this.#shortestInLastWindow = this.#shortestInWindow;
+    this.#shortestInWindow = Number.POSITIVE_INFINITY;
     this.#windowStart = now;
   }
 
@@ -114,7 +114,7 @@
     queue.size--;
     this.size--;
     if (queue.size === 0) this.#drop(queue);
-    if (this.size === 0) this.#shortestNow = 0;
+    if (this.size === 0) this.#shortestInWindow = 0;
   }
 
   /** The request to serve next. */
@@ -131,7 +131,7 @@
   longest(): CallerQueue | undefined {
     let longest = this.#front;
     let queue = this.#front;
-    for (let i = 0; i < LONGEST_SCAN && queue !== undefined; i++) {
+    for (let i = 0; i < MAX_SCANNED_QUEUES && queue !== undefined; i++) {
       if (queue.size > longest!.size) longest = queue;
       queue = queue.next;
       if (queue === this.#front) break;
--- a/packages/decisions/src/fallback.ts
+++ b/packages/decisions/src/fallback.ts
@@ -14,7 +14,7 @@
 
 import type { RegionId } from "@poplarthread/ids";
 import type { Fallback, Plan } from "./plan.ts";
-import { type RegionLoad, wantShares } from "./plan_shares.ts";
+import { desiredShares, type RegionLoad } from "./plan_shares.ts";
 
 /** The fallback of a plan for the loss of one region. */
 export function fallbackFor(
@@ -29,6 +29,6 @@
     lost,
     allotments: plan.allotments.filter(({ region }) => region !== lost),
     links: plan.links.filter(({ from, to }) => from !== lost && to !== lost),
-    shares: wantShares(loads),
+    shares: desiredShares(loads),
   };
 }
--- a/packages/decisions/src/give_up_heap.ts
+++ b/packages/decisions/src/give_up_heap.ts
@@ -22,15 +22,15 @@
   push(req: RequestState): void {
     const items = this.#items;
     const entry = { req, at: req.giveUpAt };
-    let at = items.length;
+    let index = items.length;
     items.push(entry);
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
       if (items[parent]!.at <= entry.at) break;
-      items[at] = items[parent]!;
-      at = parent;
+      items[index] = items[parent]!;
+      index = parent;
     }
-    items[at] = entry;
+    items[index] = entry;
   }
 
   /** The request whose wait ends first. */
@@ -43,19 +43,19 @@
     const items = this.#items;
     const last = items.pop()!;
     if (items.length === 0) return;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      let child = 2 * at + 1;
+      let child = 2 * index + 1;
       if (child >= items.length) break;
       const right = child + 1;
       if (right < items.length && items[right]!.at < items[child]!.at) {
         child = right;
       }
       if (items[child]!.at >= last.at) break;
-      items[at] = items[child]!;
-      at = child;
+      items[index] = items[child]!;
+      index = child;
     }
-    items[at] = last;
+    items[index] = last;
   }
 }
 
--- a/packages/decisions/src/hedge.ts
+++ b/packages/decisions/src/hedge.ts
@@ -16,11 +16,11 @@
 
 /** Deviations above the mean at which a request counts as late: the slowest 2 %
  * of exponentially distributed times, 1 % of narrower distributions. */
-const LATE_DEVIATIONS = 4;
+const LATE_AFTER_DEVIATIONS = 4;
 
 /** Time after which a request of a class counts as late, in ms. */
 export function lateAfterMs(cls: ClassState): number {
-  return cls.time.mean + LATE_DEVIATIONS * cls.time.deviation;
+  return cls.time.mean + LATE_AFTER_DEVIATIONS * cls.time.deviation;
 }
 
 /** Starts watching a request, after those dispatched earlier. */
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -18,7 +18,7 @@
 import type { Effect } from "./effect.ts";
 import type { Asked } from "./event.ts";
 import type { RequestState } from "./request_state.ts";
-import type { ServiceState, StandingAsk } from "./service_state.ts";
+import type { PendingSlotRequest, ServiceState } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
 
 /** Duration of a loan. It bounds how long a dead borrower can hold slots, and
@@ -32,29 +32,29 @@
  * to 30 ms, goodput at twice the saturation load rose by 6 % and p99 at 0.95
  * load fell by 4 %; 60 ms gave 1 % more goodput, but slots moved too late with
  * few callers. */
-const LEAST_GAIN_MS = 30;
+const MIN_GAIN_MS = 30;
 
 /** The same as a share of the local wait. Under overload all waits are long,
  * and slots that are passed back and forth for small differences idle on the
  * way: without this, and with waits compared by age alone, a slot moved 2.6
  * times per request and a tenth of the capacity was lost. */
-const LEAST_GAIN_SHARE = 0.5;
+const MIN_GAIN_SHARE = 0.5;
 
 /** Minimum interval between two requests for slots of the same service: a round
  * trip between zones, within which no response to the first can have arrived. */
-export const ASK_AGAIN_MS = 4;
+export const MIN_REQUEST_INTERVAL_MS = 4;
 
 /** A pending slot request is repeated after the first time. The peer drops it
  * after the second, in case its withdrawal was lost. */
-export const ASK_REFRESH_MS = 25;
-const ASK_EXPIRES_MS = 100;
+export const REQUEST_REFRESH_MS = 25;
+const REQUEST_TTL_MS = 100;
 
 /** Idle time after which a borrowed slot is returned without a request. */
-export const IDLE_MS = 50;
+export const MAX_BORROWED_IDLE_MS = 50;
 
 /** Share of its slots that a VM keeps free of loans into other regions: such a
  * slot is away for a round trip even when it is needed locally. */
-const KEEP_FROM_AFAR = 0.25;
+const LOCAL_ONLY_SHARE = 0.25;
 
 /** A VM whose requests occupied more than this share of its slots over the last
  * seconds lends none into other regions, even if some are free at the moment. A
@@ -65,29 +65,29 @@
 
 /** Minimum number kept free: at 0.95 load a VM with few slots also has most of
  * them free at times, although its region has none to spare. */
-const LEAST_KEPT_FROM_AFAR = 2;
+const MIN_LOCAL_ONLY_SLOTS = 2;
 
 /** Upper bound of all ranks. */
-const LAST_RANK = Number.POSITIVE_INFINITY;
+const ANY_RANK = Number.POSITIVE_INFINITY;
 
 /** Stores a peer's slot request, replacing its earlier one. */
-export function noteAsk(
+export function storeSlotRequest(
   service: ServiceState,
-  ask: Asked,
+  slotRequest: Asked,
   now: number,
 ): void {
-  if (ask.slots <= 0) {
-    service.asks.delete(ask.from);
+  if (slotRequest.slots <= 0) {
+    service.slotRequests.delete(slotRequest.from);
     return;
   }
-  service.asks.set(ask.from, {
-    from: ask.from,
-    region: ask.region,
-    slots: ask.slots,
-    rank: ask.rank,
-    rankWaitMs: ask.rankWaitMs,
-    waitMs: ask.waitMs,
-    expiresAt: now + ASK_EXPIRES_MS,
+  service.slotRequests.set(slotRequest.from, {
+    from: slotRequest.from,
+    region: slotRequest.region,
+    slots: slotRequest.slots,
+    rank: slotRequest.rank,
+    rankWaitMs: slotRequest.rankWaitMs,
+    waitMs: slotRequest.waitMs,
+    expiresAt: now + REQUEST_TTL_MS,
   });
 }
 
@@ -95,35 +95,40 @@
  * slots. When one VM's momentary shortage was enough, slots of other regions
  * were away for a round trip each although a neighbour's would have come
  * sooner: at 0.8 load a tenth of the slots was in transit, and p99 doubled. */
-export function allAsk(
+export function allRequestSlots(
   service: ServiceState,
   neighbours: readonly VmId[],
   now: number,
 ): boolean {
   return neighbours.every((vm) => {
-    const ask = service.asks.get(vm);
-    return ask !== undefined && ask.expiresAt > now;
+    const slotRequest = service.slotRequests.get(vm);
+    return slotRequest !== undefined && slotRequest.expiresAt > now;
   });
 }
 
 /** The slot request with the highest priority: best class, then longest wait of
  * that class. */
-export function firstAsk(
+export function firstSlotRequest(
   service: ServiceState,
   now: number,
-): StandingAsk | undefined {
-  let first: StandingAsk | undefined;
-  for (const ask of service.asks.values()) {
-    if (ask.expiresAt <= now) {
-      service.asks.delete(ask.from);
+): PendingSlotRequest | undefined {
+  let first: PendingSlotRequest | undefined;
+  for (const slotRequest of service.slotRequests.values()) {
+    if (slotRequest.expiresAt <= now) {
+      service.slotRequests.delete(slotRequest.from);
       continue;
     }
-    if (first === undefined || goesBefore(ask, first)) first = ask;
+    if (first === undefined || hasPriorityOver(slotRequest, first)) {
+      first = slotRequest;
+    }
   }
   return first;
 }
 
-function goesBefore(a: StandingAsk, b: StandingAsk): boolean {
+function hasPriorityOver(
+  a: PendingSlotRequest,
+  b: PendingSlotRequest,
+): boolean {
   if (a.rank !== b.rank) return a.rank < b.rank;
   return a.rankWaitMs > b.rankWaitMs;
 }
@@ -134,69 +139,77 @@
  * full share come after every peer; otherwise that caller's VM would draw in
  * the slots of the whole region, and the callers of other VMs would wait as
  * long as that caller. */
-export function peerGoesFirst(
+export function peerHasPriority(
   service: ServiceState,
-  ask: StandingAsk,
-  own: RequestState,
+  slotRequest: PendingSlotRequest,
+  local: RequestState,
 ): boolean {
-  if (service.isOverShare(own.caller)) return true;
-  const ownRankWait = service.workMs(service.waitingTo(ask.rank));
-  if (isMuchLonger(ask.rankWaitMs, ownRankWait)) return true;
-  if (own.class.policy.rank < ask.rank) return false;
-  return isMuchLonger(ask.waitMs, service.workMs(service.waitingTo(LAST_RANK)));
+  if (service.isOverShare(local.caller)) return true;
+  const localRankWaitMs = service.workMs(service.waitingTo(slotRequest.rank));
+  if (isMuchLonger(slotRequest.rankWaitMs, localRankWaitMs)) return true;
+  if (local.class.policy.rank < slotRequest.rank) return false;
+  return isMuchLonger(
+    slotRequest.waitMs,
+    service.workMs(service.waitingTo(ANY_RANK)),
+  );
 }
 
-function isMuchLonger(theirs: number, own: number): boolean {
-  return theirs > own * (1 + LEAST_GAIN_SHARE) + LEAST_GAIN_MS;
+function isMuchLonger(peerMs: number, localMs: number): boolean {
+  return peerMs > localMs * (1 + MIN_GAIN_SHARE) + MIN_GAIN_MS;
 }
 
 /** Reduces a slot request by one granted slot, and its waits in proportion. */
-export function granted(service: ServiceState, ask: StandingAsk): void {
-  const left = (ask.slots - 1) / ask.slots;
-  ask.rankWaitMs *= left;
-  ask.waitMs *= left;
-  ask.slots--;
-  if (ask.slots === 0) service.asks.delete(ask.from);
+export function reduceRequest(
+  service: ServiceState,
+  slotRequest: PendingSlotRequest,
+): void {
+  const remainingShare = (slotRequest.slots - 1) / slotRequest.slots;
+  slotRequest.rankWaitMs *= remainingShare;
+  slotRequest.waitMs *= remainingShare;
+  slotRequest.slots--;
+  if (slotRequest.slots === 0) service.slotRequests.delete(slotRequest.from);
 }
 
 /** A target with a slot to hand over for a slot request. Slots borrowed from
  * the requesting VM come first. */
-export function slotFor(
+export function targetWithSlotFor(
   service: ServiceState,
-  ask: StandingAsk,
-  ctx: { afar: boolean; mostFail: boolean; now: number },
+  slotRequest: PendingSlotRequest,
+  ctx: { isRemote: boolean; mostFailing: boolean; now: number },
 ): TargetState | undefined {
-  if (ctx.afar && !hasPlenty(service)) return undefined;
+  if (ctx.isRemote && !canSpareSlots(service)) return undefined;
   let found: TargetState | undefined;
   for (const target of service.held) {
-    if (target.region !== ask.region || target.free <= 0) continue;
-    if (owes(target, ask.from)) return target;
-    if (target.freeOwned <= 0 || target.belief.slow) continue;
-    if (target.belief.standing(ctx.now, ctx.mostFail) !== "usable") continue;
+    if (target.region !== slotRequest.region || target.free <= 0) continue;
+    if (hasBorrowedFrom(target, slotRequest.from)) return target;
+    if (target.freeOwned <= 0 || target.health.slow) continue;
+    if (target.health.stateAt(ctx.now, ctx.mostFailing) !== "usable") continue;
     found ??= target;
   }
   return found;
 }
 
 /** Whether slots of this target are borrowed from that VM. */
-export function owes(target: TargetState, to: VmId): boolean {
-  return target.loans.some((loan) => loan.from === to && loan.slots > 0);
+export function hasBorrowedFrom(target: TargetState, lender: VmId): boolean {
+  return target.loans.some((loan) => loan.from === lender && loan.slots > 0);
 }
 
 /** A target with a free borrowed slot. */
-export function idleBorrowed(service: ServiceState): TargetState | undefined {
+export function targetWithIdleLoan(
+  service: ServiceState,
+): TargetState | undefined {
   return service.held.find((target) => target.freeBorrowed > 0);
 }
 
 /** Hands one slot over: lends an owned one, or returns a borrowed one. */
-export function handOver(
+export function handOverOne(
   target: TargetState,
   to: VmId,
   out: Effect[],
 ): void {
   const loan = target.loans.find((loan) => loan.from === to && loan.slots > 0);
   if (loan !== undefined) {
-    takeFromLoan(target, loan);
+    reduceLoan(target, loan);
     out.push({ kind: "give-back", to, target: target.id, slots: 1 });
     return;
   }
@@ -211,10 +224,10 @@
 }
 
 /** Returns one borrowed slot to its owner. */
-export function giveBackOne(target: TargetState, out: Effect[]): void {
+export function returnOne(target: TargetState, out: Effect[]): void {
   const loan = target.loans.find((loan) => loan.slots > 0);
   if (loan === undefined) return;
-  takeFromLoan(target, loan);
+  reduceLoan(target, loan);
   out.push({
     kind: "give-back",
     to: loan.from,
@@ -223,7 +236,7 @@
   });
 }
 
-function takeFromLoan(target: TargetState, loan: TargetState["loans"][number]) {
+function reduceLoan(target: TargetState, loan: TargetState["loans"][number]) {
   loan.slots--;
   target.borrowed--;
   if (loan.slots > 0) return;
@@ -231,7 +244,7 @@
 }
 
 /** Drops expired loans. Returns whether there were any. */
-export function dropEndedLoans(target: TargetState, now: number): boolean {
+export function dropExpiredLoans(target: TargetState, now: number): boolean {
   let dropped = false;
   for (let i = target.loans.length - 1; i >= 0; i--) {
     const loan = target.loans[i]!;
@@ -244,7 +257,7 @@
 }
 
 /** The next waiting request of the best class. */
-function headOf(service: ServiceState): RequestState | undefined {
+function firstWaiting(service: ServiceState): RequestState | undefined {
   for (const cls of service.classes) {
     const head = cls.waiting.peek();
     if (head !== undefined) return head;
@@ -253,12 +266,12 @@
 }
 
 /** The effect that sends a slot request to one VM. */
-export function askEffect(
+export function slotRequestEffect(
   service: ServiceState,
   to: { vm: VmId; region: RegionId },
   slots: number,
 ): Effect {
-  const rank = headOf(service)?.class.policy.rank ?? 0;
+  const rank = firstWaiting(service)?.class.policy.rank ?? 0;
   return {
     kind: "ask",
     to: to.vm,
@@ -267,14 +280,14 @@
     slots,
     rank,
     rankWaitMs: service.workMs(service.waitingTo(rank)),
-    waitMs: service.workMs(service.waitingTo(LAST_RANK)),
+    waitMs: service.workMs(service.waitingTo(ANY_RANK)),
   };
 }
 
-function hasPlenty(service: ServiceState): boolean {
+function canSpareSlots(service: ServiceState): boolean {
   if (service.waiting > 0) return false;
   const free = service.heldSlots - service.inUse;
   if (service.demand > BUSY_SHARE * service.heldSlots) return false;
-  const kept = Math.ceil(service.heldSlots * KEEP_FROM_AFAR);
-  return free > Math.max(LEAST_KEPT_FROM_AFAR, kept);
+  const reserved = Math.ceil(service.heldSlots * LOCAL_ONLY_SHARE);
+  return free > Math.max(MIN_LOCAL_ONLY_SLOTS, reserved);
 }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -18,7 +18,7 @@
 
 /** Extra time that never justifies a wait: the round trip between two
  * availability zones (3 ms) and the time to open a connection (1 ms). */
-const CHEAP_MS = 5;
+const NEGLIGIBLE_MS = 5;
 
 /** Distances to targets. */
 export interface Distances {
@@ -29,48 +29,48 @@
 
 /** The target for `req`, or undefined if it should wait. `ahead` is the number
  * of requests before it. */
-export function place(
+export function chooseTarget(
   service: ServiceState,
   req: RequestState,
   ctx: { distances: Distances; ahead: number; now: number },
 ): TargetState | undefined {
   const { distances, now } = ctx;
   const { held } = service;
-  const mostFail = mostLookDead(service);
+  const mostFailing = mostAreFailing(service);
   let best: TargetState | undefined;
-  let bestExtra = Number.POSITIVE_INFINITY;
+  let bestExtraMs = Number.POSITIVE_INFINITY;
   let betterSlots = 0;
   for (let i = 0; i < held.length; i++) {
-    const target = held[(service.turn + i) % held.length]!;
+    const target = held[(service.searchStart + i) % held.length]!;
     if (target === req.avoid && held.length > 1) continue;
-    const standing = target.belief.standing(now, mostFail);
-    if (standing !== "usable") {
-      if (standing === "failing" && mayProbe(target, req, now)) {
-        target.belief.probed(now);
+    const state = target.health.stateAt(now, mostFailing);
+    if (state !== "usable") {
+      if (state === "failing" && mayProbe(target, req, now)) {
+        target.health.recordProbe(now);
         return target;
       }
       continue;
     }
-    const extra = distances.extraMs(target) +
-      target.belief.extraMs(service.time.mean, target.cold, now);
-    if (extra <= CHEAP_MS) betterSlots += target.held;
-    if (target.free <= 0 || extra >= bestExtra) continue;
+    const extraMs = distances.extraMs(target) +
+      target.health.extraMs(service.time.mean, target.cold, now);
+    if (extraMs <= NEGLIGIBLE_MS) betterSlots += target.held;
+    if (target.free <= 0 || extraMs >= bestExtraMs) continue;
     if (!mayUseSlot(target, req, now)) continue;
     best = target;
-    bestExtra = extra;
+    bestExtraMs = extraMs;
   }
   if (best === undefined) return undefined;
-  if (bestExtra > CHEAP_MS && betterSlots > 0) {
-    const wait = (ctx.ahead + 1) * service.time.mean / betterSlots;
-    if (wait < bestExtra) return undefined;
+  if (bestExtraMs > NEGLIGIBLE_MS && betterSlots > 0) {
+    const waitMs = (ctx.ahead + 1) * service.time.mean / betterSlots;
+    if (waitMs < bestExtraMs) return undefined;
   }
-  service.turn = (service.turn + 1) % held.length;
-  best.belief.used(now);
+  service.searchStart = (service.searchStart + 1) % held.length;
+  best.health.recordDispatch(now);
   return best;
 }
 
 /** Number of held targets from which they are representative of the service. */
-const ENOUGH_HELD = 3;
+const MIN_REPRESENTATIVE_TARGETS = 3;
 
 /**
  * Whether most targets fail according to this VM's own attempts. A VM that
@@ -79,14 +79,14 @@
  * use. Since it fails each request at once, it would attract more requests than
  * any other.
  */
-export function mostLookDead(service: ServiceState): boolean {
+export function mostAreFailing(service: ServiceState): boolean {
   const { held, targets } = service;
-  const isEnough = held.length >= ENOUGH_HELD;
+  const isRepresentative = held.length >= MIN_REPRESENTATIVE_TARGETS;
   let failing = 0;
-  for (const { belief } of isEnough ? held : targets) {
-    if (belief.failing) failing++;
+  for (const { health } of isRepresentative ? held : targets) {
+    if (health.failing) failing++;
   }
-  return failing * 2 > (isEnough ? held.length : targets.size);
+  return failing * 2 > (isRepresentative ? held.length : targets.size);
 }
 
 /** A failing target is probed by one request that may be repeated. */
@@ -96,7 +96,7 @@
   now: number,
 ): boolean {
   return req.repeat === "idempotent" && req.attempts === 0 &&
-    target.inUse === 0 && target.free > 0 && target.belief.mayProbe(now);
+    target.inUse === 0 && target.free > 0 && target.health.mayProbe(now);
 }
 
 /** On a borrowed slot a request must end before the loan does: after that
--- a/packages/decisions/src/plan_check.ts
+++ b/packages/decisions/src/plan_check.ts
@@ -49,7 +49,8 @@
     if (sum <= link.maxInFlight) return [];
     return [{
       kind: "link-over" as const,
-      message: `VMs may hold ${sum} of ${link.maxInFlight} from ${link.from} ` +
+      message:
+        `VMs may hold ${sum} of at most ${link.maxInFlight} requests in flight from ${link.from} ` +
         `to ${link.to}`,
     }];
   });
@@ -60,7 +61,7 @@
     .filter(({ slots, mayHold }) => slots < 0 || slots > mayHold)
     .map(({ vm, slots, mayHold }) => ({
       kind: "row",
-      message: `${vm} has ${slots} slots but may hold ${mayHold}`,
+      message: `${vm} is allotted ${slots} slots but may hold ${mayHold}`,
     }));
 }
 
@@ -70,7 +71,8 @@
       .filter((row) => !plan.allotments.includes(row))
       .map(({ vm, target }) => ({
         kind: "fallback-raises" as const,
-        message: `the fallback for ${lost} changes ${vm} at ${target}`,
+        message:
+          `the fallback for the loss of ${lost} changes the slots of ${vm} at ${target}`,
       }))
   );
 }
--- a/packages/decisions/src/plan_links.ts
+++ b/packages/decisions/src/plan_links.ts
@@ -19,7 +19,7 @@
 
 /** Slots of traffic that may still be moved into a region in this step. */
 export interface Credit {
-  saved: number;
+  available: number;
   /** Cap of one step, in slots. */
   readonly cap: number;
 }
@@ -30,16 +30,18 @@
 /** Adds the allowance for the time since the last plan. At most one step's cap
  * accumulates. Where that is less than one slot on a cold link, one slot may
  * accumulate; otherwise links into a small region could never be raised. */
-export function earnCredits(input: PlannerInput): Credits {
+export function accrueCredits(input: PlannerInput): Credits {
   const { shift, regions } = input.policy;
   const steps = Math.min(1, input.previousAgeMs / shift.stepMs);
   const credits: Credits = new Map();
   for (const { id } of regions) {
-    const before = input.previous?.credits.find(({ region }) => region === id);
+    const previous = input.previous?.credits.find(({ region }) =>
+      region === id
+    );
     const cap = shift.maxStepShare * openSlots(input, id);
-    const earned = (before?.slots ?? 0) + steps * cap;
-    const most = cap > 0 ? Math.max(1 / coldRatio(input), cap) : 0;
-    credits.set(id, { saved: Math.min(earned, most), cap });
+    const earned = (previous?.slots ?? 0) + steps * cap;
+    const maxCredit = cap > 0 ? Math.max(1 / coldRatio(input), cap) : 0;
+    credits.set(id, { available: Math.min(earned, maxCredit), cap });
   }
   return credits;
 }
@@ -82,9 +84,9 @@
   );
   const users = input.vms.filter((vm) => vm.live && vm.region === from);
   const reachable = input.vms.some((vm) => vm.live && vm.region === to);
-  const total = reachable ? raisedTo(input, link, ctx.credits, previous) : 0;
+  const total = reachable ? raisedTotal(input, link, ctx.credits, previous) : 0;
   const weights = new Map<VmId, number>(users.map(({ vm }) => [vm, 1]));
-  const wanted = keepNear(previous, largestRemainder(weights, total));
+  const wanted = keepDistribution(previous, largestRemainder(weights, total));
   return nextHoldings(previous, wanted, {
     total: link.maxInFlight,
     step: ctx.step,
@@ -92,37 +94,42 @@
 }
 
 /** Total in-flight limit of a link after this step. */
-function raisedTo(
+function raisedTotal(
   input: PlannerInput,
   link: LinkPolicy,
   credits: Credits,
   previous: readonly Holding[],
 ): number {
-  const now = previous.reduce((sum, { slots }) => sum + slots, 0);
-  if (now >= link.maxInFlight) return link.maxInFlight;
+  const current = previous.reduce((sum, { slots }) => sum + slots, 0);
+  if (current >= link.maxInFlight) return link.maxInFlight;
   const credit = credits.get(link.to);
-  if (credit === undefined) return now;
-  const isCold = now < link.maxInFlight / 2;
+  if (credit === undefined) return current;
+  const isCold = current < link.maxInFlight / 2;
   const ratio = isCold ? coldRatio(input) : 1;
   const others = Math.max(1, input.policy.regions.length - 1);
-  const even = Math.floor(credit.saved * ratio / others);
-  const least = Math.min(1, Math.floor(credit.saved * ratio));
-  const raise = Math.min(link.maxInFlight - now, Math.max(even, least));
-  credit.saved -= raise;
-  return now + raise;
+  const evenShare = Math.floor(credit.available * ratio / others);
+  const minRaise = Math.min(1, Math.floor(credit.available * ratio));
+  const raise = Math.min(
+    link.maxInFlight - current,
+    Math.max(evenShare, minRaise),
+  );
+  credit.available -= raise;
+  return current + raise;
 }
 
 /** Keeps the previous distribution where the sum is unchanged, so that an
  * uneven remainder does not move between VMs. */
-function keepNear(
+function keepDistribution(
   previous: readonly Holding[],
   wanted: Map<VmId, number>,
 ): Map<VmId, number> {
   const sum = [...wanted.values()].reduce((a, b) => a + b, 0);
-  const now = previous.reduce((total, { slots }) => total + slots, 0);
-  const near = previous.every(({ vm, slots }) =>
+  const previousSum = previous.reduce((total, { slots }) => total + slots, 0);
+  const isNear = previous.every(({ vm, slots }) =>
     wanted.has(vm) && Math.abs(wanted.get(vm)! - slots) <= 1
   );
-  if (sum !== now || !near || previous.length !== wanted.size) return wanted;
+  if (sum !== previousSum || !isNear || previous.length !== wanted.size) {
+    return wanted;
+  }
   return new Map(previous.map(({ vm, slots }) => [vm, slots]));
 }
--- a/packages/decisions/src/plan_shares.ts
+++ b/packages/decisions/src/plan_shares.ts
@@ -25,12 +25,12 @@
 }
 
 /** Tolerance for rounding errors in sums of shares. */
-const LEAST_MISSING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** Load that a region's own callers may put on it before some are directed
  * elsewhere. Above it, waits grow by more than the round trip to the next
  * region; below it, borrowing over the links is enough. */
-const FULL_LOAD = 0.95;
+const MAX_LOCAL_LOAD = 0.95;
 
 /** Loads of all regions. The expected peak in the policy is used as the
  * callers' demand, because no VM can measure it by region once callers are
@@ -51,7 +51,7 @@
   input: PlannerInput,
   ctx: { loads: readonly RegionLoad[]; credits: Credits },
 ): CallerShare[] {
-  const wanted = wantShares(ctx.loads);
+  const wanted = desiredShares(ctx.loads);
   const previous = input.previous?.shares;
   if (previous === undefined || previous.length === 0) return wanted;
   return ctx.loads.flatMap(({ region, demand }) =>
@@ -64,17 +64,17 @@
 }
 
 /** Shares that fit the loads, regardless of the caps per step. */
-export function wantShares(loads: readonly RegionLoad[]): CallerShare[] {
+export function desiredShares(loads: readonly RegionLoad[]): CallerShare[] {
   return loads.flatMap((load) => {
-    const away = shareAway(load);
-    const rooms = loads
+    const moving = shareToMove(load);
+    const others = loads
       .filter(({ region }) => region !== load.region)
-      .map((other) => ({ region: other.region, room: roomOf(other) }));
-    const sum = rooms.reduce((total, { room }) => total + room, 0);
-    const moved = sum > 0 ? away : 0;
+      .map((other) => ({ region: other.region, room: spareCapacityOf(other) }));
+    const sum = others.reduce((total, { room }) => total + room, 0);
+    const moved = sum > 0 ? moving : 0;
     return [
       { from: load.region, to: load.region, share: 1 - moved },
-      ...rooms.map(({ region, room }) => ({
+      ...others.map(({ region, room }) => ({
         from: load.region,
         to: region,
         share: sum > 0 ? moved * room / sum : 0,
@@ -83,17 +83,17 @@
   });
 }
 
-function shareAway(load: RegionLoad): number {
+function shareToMove(load: RegionLoad): number {
   if (load.capacity === 0) return 1;
-  const carried = load.capacity * FULL_LOAD;
-  if (load.demand <= carried) return 0;
-  return 1 - carried / load.demand;
+  const usableSlots = load.capacity * MAX_LOCAL_LOAD;
+  if (load.demand <= usableSlots) return 0;
+  return 1 - usableSlots / load.demand;
 }
 
 /** Spare capacity for callers of other regions. A region at full load still
  * counts with 1 % of its capacity, so that callers of a dead region always have
  * a destination. */
-function roomOf(load: RegionLoad): number {
+function spareCapacityOf(load: RegionLoad): number {
   if (load.capacity === 0) return 0;
   return Math.max(0.01 * load.capacity, load.capacity - load.demand);
 }
@@ -102,51 +102,54 @@
   wanted: readonly CallerShare[],
   ctx: { previous: readonly CallerShare[]; demand: number; credits: Credits },
 ): CallerShare[] {
-  const now = (row: CallerShare): number =>
+  const previousShare = (row: CallerShare): number =>
     ctx.previous.find(({ from, to }) => from === row.from && to === row.to)
       ?.share ?? 0;
   let raised = 0;
   let wantedRaise = 0;
   const rows = wanted.map((row) => {
-    const by = row.share - now(row);
-    if (by <= 0) return { row, share: row.share, by };
-    wantedRaise += by;
-    const granted = drawShare(by, { ...ctx, to: row.to });
-    raised += granted;
-    return { row, share: now(row) + granted, by };
+    const increase = row.share - previousShare(row);
+    if (increase <= 0) return { row, share: row.share, increase };
+    wantedRaise += increase;
+    const allowed = drawCredit(increase, { ...ctx, to: row.to });
+    raised += allowed;
+    return { row, share: previousShare(row) + allowed, increase };
   });
   const missing = wantedRaise - raised;
-  return spreadBack(rows, now, missing);
+  return keepUnmoved(rows, previousShare, missing);
 }
 
 /** Takes an increase out of the region's credit; returns the share allowed. */
-function drawShare(
-  by: number,
+function drawCredit(
+  increase: number,
   ctx: { demand: number; credits: Credits; to: RegionId },
 ): number {
-  if (ctx.demand <= 0) return by;
+  if (ctx.demand <= 0) return increase;
   const credit = ctx.credits.get(ctx.to);
   if (credit === undefined) return 0;
-  const slots = Math.min(by * ctx.demand, credit.saved, credit.cap);
-  credit.saved -= slots;
+  const slots = Math.min(increase * ctx.demand, credit.available, credit.cap);
+  credit.available -= slots;
   return slots / ctx.demand;
 }
 
 /** Increases that the caps did not allow stay with the regions that would have
  * lost them, so that the shares still add up to 1. */
-function spreadBack(
-  rows: readonly { row: CallerShare; share: number; by: number }[],
-  now: (row: CallerShare) => number,
+function keepUnmoved(
+  rows: readonly { row: CallerShare; share: number; increase: number }[],
+  previousShare: (row: CallerShare) => number,
   missing: number,
 ): CallerShare[] {
-  const falling = rows.reduce((sum, { by }) => sum + Math.max(0, -by), 0);
-  if (missing < LEAST_MISSING || falling === 0) {
+  const falling = rows.reduce(
+    (sum, { increase }) => sum + Math.max(0, -increase),
+    0,
+  );
+  if (missing < ROUNDING_TOLERANCE || falling === 0) {
     return rows.map(({ row, share }) => ({ ...row, share }));
   }
-  return rows.map(({ row, share, by }) => {
-    if (by >= 0) return { ...row, share };
-    const back = missing * -by / falling;
-    return { ...row, share: Math.min(now(row), share + back) };
+  return rows.map(({ row, share, increase }) => {
+    if (increase >= 0) return { ...row, share };
+    const kept = missing * -increase / falling;
+    return { ...row, share: Math.min(previousShare(row), share + kept) };
   });
 }
 
--- a/packages/decisions/src/plan_slots.ts
+++ b/packages/decisions/src/plan_slots.ts
@@ -15,18 +15,18 @@
 
 /** Every VM gets at least this share of the mean, so that a VM that is idle now
  * can serve its next requests. */
-const LEAST_WEIGHT = 0.25;
+const MIN_WEIGHT_SHARE = 0.25;
 
 /** A VM's slot count changes only if it differs from its demand by more than
  * this share: each move lowers one VM and raises another, and demand over one
  * second is noisy (8 slots: ±3). */
-const HYSTERESIS = 0.3;
+const HYSTERESIS_SHARE = 0.3;
 
 /** Largest share of a region's slots that one plan moves between VMs. A moved
  * slot idles until its previous VM has confirmed and the next plan is out, 1.5
  * s: with a third of the slots moved at once, draining a zone caused refusals
  * at 40 % load. */
-const MOST_MOVED = 0.1;
+const MAX_MOVED_SHARE = 0.1;
 
 /** Input of the distribution. */
 export interface SlotDemand {
@@ -46,49 +46,52 @@
 }
 
 /** Desired slots, by target and VM. */
-export type WantedSlots = Map<TargetId, Map<VmId, number>>;
+export type DesiredSlots = Map<TargetId, Map<VmId, number>>;
 
 /** Distributes the slots of a service in a region. */
-export function wantSlots(input: SlotDemand): WantedSlots {
-  const counts = wantCounts(input);
-  const wanted: WantedSlots = new Map();
+export function desiredSlots(input: SlotDemand): DesiredSlots {
+  const counts = desiredCounts(input);
+  const wanted: DesiredSlots = new Map();
   const free = new Map<TargetId, number>();
   for (const { target } of input.targets) {
     wanted.set(target, new Map());
     free.set(target, input.slotsPerTarget);
   }
-  const give = (vm: VmId, target: TargetId, slots: number): number => {
-    const most = Math.min(slots, free.get(target)!, counts.get(vm) ?? 0);
-    if (most <= 0) return 0;
+  const assign = (vm: VmId, target: TargetId, slots: number): number => {
+    const count = Math.min(slots, free.get(target)!, counts.get(vm) ?? 0);
+    if (count <= 0) return 0;
     const row = wanted.get(target)!;
-    row.set(vm, (row.get(vm) ?? 0) + most);
-    free.set(target, free.get(target)! - most);
-    counts.set(vm, counts.get(vm)! - most);
-    return most;
+    row.set(vm, (row.get(vm) ?? 0) + count);
+    free.set(target, free.get(target)! - count);
+    counts.set(vm, counts.get(vm)! - count);
+    return count;
   };
-  keepOwned(input, give);
-  fill(input, { counts, give, sameZone: true });
-  fill(input, { counts, give, sameZone: false });
+  keepOwned(input, assign);
+  assignRotating(input, { counts, assign, sameZone: true });
+  assignRotating(input, { counts, assign, sameZone: false });
   return wanted;
 }
 
 /** Number of slots for each VM, by demand. */
-function wantCounts(input: SlotDemand): Map<VmId, number> {
-  const held = heldNow(input);
+function desiredCounts(input: SlotDemand): Map<VmId, number> {
+  const held = currentCounts(input);
   const weights = new Map<VmId, number>();
   for (const { vm } of input.vms) {
     weights.set(vm, input.demand.get(vm) ?? held.get(vm) ?? 1);
   }
   const sum = [...weights.values()].reduce((a, b) => a + b, 0);
-  const least = LEAST_WEIGHT * Math.max(1, sum) / Math.max(1, weights.size);
-  for (const [vm, weight] of weights) weights.set(vm, Math.max(least, weight));
+  const minWeight = MIN_WEIGHT_SHARE * Math.max(1, sum) /
+    Math.max(1, weights.size);
+  for (const [vm, weight] of weights) {
+    weights.set(vm, Math.max(minWeight, weight));
+  }
   const ideal = largestRemainder(weights, input.total);
-  return towards(held, ideal, input.total);
+  return stepTowards(held, ideal, input.total);
 }
 
 /** Counts one step closer to the ideal ones: unowned slots are assigned, and a
  * few are moved from VMs that are far above their ideal count. */
-function towards(
+function stepTowards(
   held: ReadonlyMap<VmId, number>,
   ideal: ReadonlyMap<VmId, number>,
   total: number,
@@ -100,15 +103,18 @@
     counts.set(vm, slots);
     unowned -= slots;
   }
-  const most = Math.max(1, Math.floor(MOST_MOVED * total));
-  for (let i = 0; i < most && unowned <= 0; i++) {
-    const [from, over] = furthest(counts, ideal, 1);
-    const isFar = over > Math.max(1, HYSTERESIS * (ideal.get(from!) ?? 0));
+  const maxMoves = Math.max(1, Math.floor(MAX_MOVED_SHARE * total));
+  for (let i = 0; i < maxMoves && unowned <= 0; i++) {
+    const [from, excess] = furthestFromIdeal(counts, ideal, 1);
+    const isFar =
+      excess > Math.max(1, HYSTERESIS_SHARE * (ideal.get(from!) ?? 0));
     // A VM without any slot can't serve its own requests until it gets one.
-    const isBare = [...counts].some(([vm, slots]) =>
+    const isWithoutSlots = [...counts].some(([vm, slots]) =>
       slots === 0 && ideal.get(vm)! > 0
     );
-    if (from === undefined || (unowned === 0 && !isFar && !isBare)) break;
+    if (from === undefined || (unowned === 0 && !isFar && !isWithoutSlots)) {
+      break;
+    }
     counts.set(from, counts.get(from)! - 1);
     unowned++;
     if (unowned > 0) unowned -= addOne(counts, ideal);
@@ -121,29 +127,29 @@
   counts: Map<VmId, number>,
   ideal: ReadonlyMap<VmId, number>,
 ): number {
-  const [to] = furthest(counts, ideal, -1);
+  const [to] = furthestFromIdeal(counts, ideal, -1);
   counts.set(to!, counts.get(to!)! + 1);
   return 1;
 }
 
 /** The VM furthest above its ideal count (sign 1) or below it (sign -1). */
-function furthest(
+function furthestFromIdeal(
   counts: ReadonlyMap<VmId, number>,
   ideal: ReadonlyMap<VmId, number>,
   sign: 1 | -1,
 ): [VmId | undefined, number] {
   let best: VmId | undefined;
-  let most = Number.NEGATIVE_INFINITY;
+  let largest = Number.NEGATIVE_INFINITY;
   for (const [vm, slots] of counts) {
-    const off = sign * (slots - ideal.get(vm)!);
-    if (off <= most) continue;
+    const difference = sign * (slots - ideal.get(vm)!);
+    if (difference <= largest) continue;
     best = vm;
-    most = off;
+    largest = difference;
   }
-  return [best, most];
+  return [best, largest];
 }
 
-function heldNow(input: SlotDemand): Map<VmId, number> {
+function currentCounts(input: SlotDemand): Map<VmId, number> {
   const held = new Map<VmId, number>();
   const known = new Set(input.vms.map(({ vm }) => vm));
   for (const { target } of input.targets) {
@@ -163,52 +169,52 @@
   const sum = [...weights.values()].reduce((a, b) => a + b, 0);
   const counts = new Map<Key, number>();
   if (sum <= 0) return counts;
-  const rest: { key: Key; fraction: number }[] = [];
+  const fractions: { key: Key; fraction: number }[] = [];
   let left = total;
   for (const [key, weight] of weights) {
-    const exact = total * weight / sum;
-    const whole = Math.floor(exact);
-    counts.set(key, whole);
-    left -= whole;
-    rest.push({ key, fraction: exact - whole });
+    const quota = total * weight / sum;
+    const floor = Math.floor(quota);
+    counts.set(key, floor);
+    left -= floor;
+    fractions.push({ key, fraction: quota - floor });
   }
-  rest.sort((a, b) => b.fraction - a.fraction);
-  for (const { key } of rest.slice(0, left)) {
+  fractions.sort((a, b) => b.fraction - a.fraction);
+  for (const { key } of fractions.slice(0, left)) {
     counts.set(key, counts.get(key)! + 1);
   }
   return counts;
 }
 
-type Give = (vm: VmId, target: TargetId, slots: number) => number;
+type Assign = (vm: VmId, target: TargetId, slots: number) => number;
 
 /** Keeps the slots that a VM already owns, up to its count: each move lowers
  * one VM and raises another. */
-function keepOwned(input: SlotDemand, give: Give): void {
+function keepOwned(input: SlotDemand, assign: Assign): void {
   for (const { target } of input.targets) {
     for (const [vm, slots] of input.owned.get(target) ?? []) {
-      give(vm, target, slots);
+      assign(vm, target, slots);
     }
   }
 }
 
 /** Assigns one slot at a time to each VM in rotation, so that a VM's slots are
  * spread over many targets and no target is used by a single VM only. */
-function fill(
+function assignRotating(
   input: SlotDemand,
-  ctx: { counts: Map<VmId, number>; give: Give; sameZone: boolean },
+  ctx: { counts: Map<VmId, number>; assign: Assign; sameZone: boolean },
 ): void {
-  let turn = 0;
-  for (let dealt = true; dealt;) {
-    dealt = false;
+  let rotation = 0;
+  for (let hasAssigned = true; hasAssigned;) {
+    hasAssigned = false;
     for (const { vm, zone } of input.vms) {
       if ((ctx.counts.get(vm) ?? 0) === 0) continue;
-      turn++;
+      rotation++;
       const { targets } = input;
       for (let i = 0; i < targets.length; i++) {
-        const entry = targets[(turn + i) % targets.length]!;
+        const entry = targets[(rotation + i) % targets.length]!;
         if (ctx.sameZone && entry.zone !== zone) continue;
-        if (ctx.give(vm, entry.target, 1) === 0) continue;
-        dealt = true;
+        if (ctx.assign(vm, entry.target, 1) === 0) continue;
+        hasAssigned = true;
         break;
       }
     }
--- a/packages/decisions/src/plan_transition.ts
+++ b/packages/decisions/src/plan_transition.ts
@@ -42,7 +42,7 @@
   ctx: { total: number; step: Step },
 ): Holding[] {
   const lowered = previous.map((old) =>
-    lower(settle(old, ctx.step), wanted.get(old.vm) ?? 0, ctx.step)
+    lower(applyConfirmation(old, ctx.step), wanted.get(old.vm) ?? 0, ctx.step)
   );
   let spare = ctx.total;
   for (const { mayHold } of lowered) spare -= mayHold;
@@ -63,7 +63,7 @@
 }
 
 /** A lowering is complete once its VM has confirmed it or has stopped. */
-function settle(old: Holding, step: Step): Holding {
+function applyConfirmation(old: Holding, step: Step): Holding {
   const confirmed = (step.confirmed.get(old.vm) ?? 0) >= old.loweredIn;
   return confirmed || step.stopped.has(old.vm)
     ? { ...old, mayHold: old.slots }
--- a/packages/decisions/src/planner.ts
+++ b/packages/decisions/src/planner.ts
@@ -9,9 +9,9 @@
 import type { TargetEntry, VmEntry } from "./event.ts";
 import { fallbackFor } from "./fallback.ts";
 import type { Allotment, Plan } from "./plan.ts";
-import { earnCredits, nextLinks } from "./plan_links.ts";
+import { accrueCredits, nextLinks } from "./plan_links.ts";
 import { nextShares, regionLoads } from "./plan_shares.ts";
-import { wantSlots } from "./plan_slots.ts";
+import { desiredSlots } from "./plan_slots.ts";
 import { nextHoldings, type Step } from "./plan_transition.ts";
 import type { Policy, ServicePolicy } from "./policy.ts";
 
@@ -56,7 +56,7 @@
 export const PLAN_TTL_MS = 10_000;
 
 /** Demand reports older than this are ignored: five missed reports. */
-const DEMAND_EXPIRES_MS = 5_000;
+const DEMAND_TTL_MS = 5_000;
 
 /** Computes the next plan. */
 export function nextPlan(input: PlannerInput): Plan {
@@ -73,7 +73,7 @@
       allot(input, { service, region: id, step })
     )
   );
-  const credits = earnCredits(input);
+  const credits = accrueCredits(input);
   const loads = regionLoads(input);
   const shares = nextShares(input, { loads, credits });
   const links = nextLinks(input, { step, credits });
@@ -84,7 +84,7 @@
     allotments,
     links,
     shares,
-    credits: [...credits].map(([region, { saved }]) => ({
+    credits: [...credits].map(([region, { available: saved }]) => ({
       region,
       slots: saved,
     })),
@@ -109,7 +109,7 @@
   );
   const open = entries.filter(({ leaving }) => !leaving);
   const previous = rowsByTarget(input, scope);
-  const wanted = wantSlots({
+  const wanted = desiredSlots({
     service: service.id,
     region,
     targets: open,
@@ -118,7 +118,7 @@
       open.length * service.slotsPerTarget *
         service.utilisation,
     ),
-    vms: ownersFor(input, region),
+    vms: ownersIn(input, region),
     demand: demandOf(input, service.id),
     owned: ownedBy(previous),
   });
@@ -133,7 +133,7 @@
 
 /** Slots of a region are owned by its live VMs; if it has none, by the live VMs
  * of other regions. */
-function ownersFor(input: PlannerInput, region: RegionId): VmEntry[] {
+function ownersIn(input: PlannerInput, region: RegionId): VmEntry[] {
   const live = input.vms.filter((vm) => vm.live);
   const local = live.filter((vm) => vm.region === region);
   return local.length > 0 ? local : live;
@@ -171,7 +171,7 @@
 ): Map<VmId, number> {
   const demand = new Map<VmId, number>();
   for (const entry of input.demand) {
-    if (entry.service !== service || entry.ageMs > DEMAND_EXPIRES_MS) continue;
+    if (entry.service !== service || entry.ageMs > DEMAND_TTL_MS) continue;
     demand.set(entry.vm, entry.slots);
   }
   return demand;
--- a/packages/decisions/src/planner_test.ts
+++ b/packages/decisions/src/planner_test.ts
@@ -79,15 +79,16 @@
     .reduce((sum, { slots }) => sum + slots, 0);
 }
 
-test("slots are dealt evenly, each to one VM of its region", () => {
+test("slots are distributed evenly over the VMs of their region", () => {
   const plan = nextPlan(inputOf());
   expect(planFaults(plan, policy)).toEqual([]);
   expect(vms.map(({ vm }) => slotsOf(plan, vm))).toEqual(Array(9).fill(4));
 });
 
-// A VM dies, or only its heartbeats are lost. If its slots were given on at
-// once and it still worked, targets would get more than they carry.
-test("a silent VM's slots are given on only after it must have stopped", () => {
+// A VM dies, or only its heartbeats are lost. If its slots were reassigned at
+// once while it still runs, targets would get more requests than they have
+// slots.
+test("an unresponsive VM's slots are reassigned only after it has certainly stopped", () => {
   const first = nextPlan(inputOf());
   const without = vms.map((vm) =>
     vm.vm === "north-vm-1" ? { ...vm, live: false } : vm
@@ -115,9 +116,9 @@
   }
 });
 
-// Two VMs are cut off together. They may vouch for each other's plan for as
-// long as they like, so no time is long enough to take their slots for free.
-test("two silent VMs are never taken for stopped, unless they are gone", () => {
+// Two VMs are cut off together. They may confirm each other's plan
+// indefinitely, so no time is long enough to consider their slots free.
+test("two unresponsive VMs are never considered stopped unless they are gone", () => {
   const first = nextPlan(inputOf());
   const away = vms.slice(0, 2).map(({ vm }) => vm);
   const without = vms.map((vm) => ({ ...vm, live: !away.includes(vm.vm) }));
@@ -137,23 +138,23 @@
   expect([...watchSilence([], listed).stopped]).toEqual(away);
 });
 
-// Plans are made while VMs confirm late or never, come and go, and measured
-// demand jumps. Each VM acts on some plan it has heard; whichever that is, no
-// target may be promised twice.
-test("no sequence of plans promises a slot twice, whoever acts on which", () => {
+// Plans are computed while VMs confirm late or never, join and leave, and
+// measured demand jumps. Each VM applies some plan that it has received;
+// whichever that is, no slot may be assigned twice.
+test("no sequence of plans assigns a slot twice, whichever plan each VM applies", () => {
   const round = fc.record({
     live: fc.array(fc.boolean(), { minLength: 9, maxLength: 9 }),
     leaving: fc.array(fc.boolean(), { minLength: 12, maxLength: 12 }),
     demand: fc.array(fc.nat(20), { minLength: 9, maxLength: 9 }),
-    hears: fc.array(fc.boolean(), { minLength: 9, maxLength: 9 }),
+    receives: fc.array(fc.boolean(), { minLength: 9, maxLength: 9 }),
   });
   const rounds = fc.array(round, { maxLength: 15 });
   fc.assert(
     fc.property(rounds, (history) => {
       const first = nextPlan(inputOf());
       const plans = [first];
-      const acts = vms.map(() => first);
-      for (const { live, leaving, demand, hears } of history) {
+      const applied = vms.map(() => first);
+      for (const { live, leaving, demand, receives } of history) {
         const previous = plans.at(-1)!;
         const plan = nextPlan(inputOf({
           vms: vms.map((vm, i) => ({ ...vm, live: live[i]! })),
@@ -166,19 +167,19 @@
           })),
           confirmations: vms.map(({ vm }, i) => ({
             vm,
-            sequence: acts[i]!.sequence,
+            sequence: applied[i]!.sequence,
             ageMs: 0,
           })),
           previous,
         }));
         expect(planFaults(plan, policy)).toEqual([]);
         plans.push(plan);
-        hears.forEach((heard, i) => {
-          if (heard) acts[i] = plan;
+        receives.forEach((isReceived, i) => {
+          if (isReceived) applied[i] = plan;
         });
         for (const { target } of targets) {
           const used = vms.reduce((sum, { vm }, i) => {
-            const row = acts[i]!.allotments.find((other) =>
+            const row = applied[i]!.allotments.find((other) =>
               other.vm === vm && other.target === target
             );
             return sum + (row?.slots ?? 0);
@@ -191,9 +192,9 @@
   );
 });
 
-// A region is taken out for maintenance. Its callers all move at once into
-// regions whose caches don't know them, and everyone there waits.
-test("callers and links move into a region by no more than the cap a step", () => {
+// A region is drained for maintenance. If its callers all moved at once to
+// regions whose caches are cold for them, all callers there would wait.
+test("callers and links into a region grow by at most the cap per step", () => {
   const cap = 0.1 * 12;
   const drained = targets.map((row) =>
     row.region === "west" ? { ...row, leaving: true } : row
@@ -229,7 +230,7 @@
 });
 
 describe("a switch", () => {
-  test("is refused when the traffic of the moment would not fit", () => {
+  test("is refused when the current traffic exceeds the capacity", () => {
     const next: Policy = {
       ...policy,
       services: policy.services.map((entry) => ({
@@ -244,11 +245,11 @@
       ),
     ).toMatchInlineSnapshot(`
       [
-        "error service-short: sales would have 27 slots, and 28.8 are in use or waited for now",
-        "warning region-short: sales in north would miss 6.6 slots, and its links carry 20",
-        "warning fallback-short: without north, sales would have 24 slots for 28.8",
-        "warning fallback-short: without south, sales would have 15 slots for 28.8",
-        "warning fallback-short: without west, sales would have 15 slots for 28.8",
+        "error service-short: sales would have 27 slots, but 28.8 are in use or waited for now",
+        "warning region-short: sales in north would lack 6.6 slots, and its links carry at most 20",
+        "warning fallback-short: without north, sales would have 24 slots for a demand of 28.8",
+        "warning fallback-short: without south, sales would have 15 slots for a demand of 28.8",
+        "warning fallback-short: without west, sales would have 15 slots for a demand of 28.8",
       ]
     `);
   });
--- a/packages/decisions/src/remote.ts
+++ b/packages/decisions/src/remote.ts
@@ -21,11 +21,11 @@
 /** Round trip between zones of one region beyond that within a zone: one way
  * takes 1 to 1.5 ms. The exact value matters little: it makes targets in the
  * VM's own zone preferred. */
-const OTHER_ZONE_MS = 3;
+const CROSS_ZONE_ROUND_TRIP_MS = 3;
 
 /** Minimum interval between two slot requests to other regions: about one round
  * trip. */
-export const ASK_AFAR_AGAIN_MS = 100;
+export const MIN_REMOTE_REQUEST_INTERVAL_MS = 100;
 
 /** A link from this VM's region to another. */
 export interface LinkState {
@@ -79,11 +79,11 @@
  * is full. */
 export function distanceMs(
   target: TargetState,
-  here: { region: RegionId; zone: string },
+  local: { region: RegionId; zone: string },
   links: ReadonlyMap<RegionId, LinkState>,
 ): number {
-  if (target.region === here.region) {
-    return target.zone === here.zone ? 0 : OTHER_ZONE_MS;
+  if (target.region === local.region) {
+    return target.zone === local.zone ? 0 : CROSS_ZONE_ROUND_TRIP_MS;
   }
   const link = links.get(target.region);
   if (link === undefined || link.inUse >= link.limit) {
@@ -98,20 +98,20 @@
  * serves locally. With requests of 52 ms over 110 ms, borrowing made the p99
  * with one slow target 2.7 times the usual instead of 1.6, and reduced the
  * goodput of both regions. */
-const MOST_TRIPS = 1.5;
+const MAX_ROUND_TRIP_RATIO = 1.5;
 
 /** Number of waiting requests that would be served sooner over this link.
- * `hasOwn`: this VM's region has slots, so waiting leads to one. */
-export function wantedAfar(
+ * `hasLocalSlots`: this VM's region has slots, so waiting leads to one. */
+export function slotsWantedOver(
   service: ServiceState,
   link: LinkState,
-  hasOwn: boolean,
+  hasLocalSlots: boolean,
 ): number {
   const room = link.limit - link.inUse;
   if (room <= 0) return 0;
-  const isFar = link.roundTripMs > MOST_TRIPS * service.time.mean;
-  if (isFar && hasOwn) return 0;
-  const inTime = link.roundTripMs / service.waitMs(0);
-  const late = service.waiting - Math.floor(inTime);
-  return Math.max(0, Math.min(room, late));
+  const isFar = link.roundTripMs > MAX_ROUND_TRIP_RATIO * service.time.mean;
+  if (isFar && hasLocalSlots) return 0;
+  const servedInTime = link.roundTripMs / service.waitMs(0);
+  const servedSooner = service.waiting - Math.floor(servedInTime);
+  return Math.max(0, Math.min(room, servedSooner));
 }
--- a/packages/decisions/src/requests.ts
+++ b/packages/decisions/src/requests.ts
@@ -8,14 +8,14 @@
 import type { Effect, RefuseReason } from "./effect.ts";
 import type { Arrive } from "./event.ts";
 import * as hedge from "./hedge.ts";
-import { place } from "./placement.ts";
+import { chooseTarget } from "./placement.ts";
 import type { RequestState } from "./request_state.ts";
 import type { ClassState, ServiceState } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
 import type { VmState } from "./vm_state.ts";
 
 /** Callers skipped in one search because they hold their full share of slots. */
-const MOST_PASSED_OVER = 8;
+const MAX_SKIPPED_CALLERS = 8;
 
 /** Starts, queues or refuses a new request. */
 export function arrive(
@@ -35,14 +35,14 @@
     return undefined;
   }
   const req = newRequest(event, service, { class: cls, now });
-  if (startAtOnce(vm, req, ctx)) return undefined;
+  if (startImmediately(vm, req, ctx)) return undefined;
   const admission = admit(service, req, now);
   switch (admission.kind) {
     case "refuse":
       refuseArrival(vm, event, { reason: "overload", now, out });
       return undefined;
     case "replace":
-      refuseLongest(vm, cls, ctx);
+      refuseFromLongestQueue(vm, cls, ctx);
       enqueue(vm, req, { giveUpAt: admission.giveUpAt });
       return service;
     case "wait":
@@ -58,14 +58,14 @@
   ctx: { now: number; out: Effect[] },
 ): boolean {
   const { service } = req;
-  const target = place(service, req, {
+  const target = chooseTarget(service, req, {
     distances: vm,
-    ahead: Math.max(0, waitingWith(req) - 1),
+    ahead: Math.max(0, countedWaiting(req) - 1),
     now: ctx.now,
   });
   if (target === undefined) return false;
-  req.class.waiting.served(ctx.now - req.arrivedAt, ctx.now);
-  unqueue(req);
+  req.class.waiting.recordWait(ctx.now - req.arrivedAt, ctx.now);
+  dequeue(req);
   start(vm, req, { target, kind: "dispatch", ...ctx });
   return true;
 }
@@ -73,7 +73,7 @@
 /** Requests that count towards a request's expected wait. Requests of a caller
  * over its share don't count for others: its backlog is no reason to send their
  * requests to distant targets. */
-function waitingWith(req: RequestState): number {
+function countedWaiting(req: RequestState): number {
   const { service } = req;
   return service.isOverShare(req.caller)
     ? service.waiting
@@ -86,14 +86,14 @@
  * whatever their class. Otherwise one caller's requests of a high class could
  * starve all other callers' requests of the next class.
  */
-export function nextInTurn(
+export function nextWaiting(
   service: ServiceState,
 ): RequestState | undefined {
   let overShare: RequestState | undefined;
   for (const cls of service.classes) {
     if (cls.waiting.size === 0) continue;
     if (!mayTakeSlot(service, cls)) break;
-    const head = nextCaller(service, cls);
+    const head = headOfNextCaller(service, cls);
     if (!service.isOverShare(head.caller)) return head;
     overShare ??= head;
   }
@@ -106,24 +106,24 @@
   req: RequestState,
   ctx: { now: number; out: Effect[] },
 ): void {
-  unqueue(req);
-  finish(vm, req, { reason: "waited-too-long", ...ctx });
+  dequeue(req);
+  refuse(vm, req, { reason: "waited-too-long", ...ctx });
 }
 
 /** Whether a class may take one more slot, given the slots reserved for better
  * classes. */
 export function mayTakeSlot(service: ServiceState, cls: ClassState): boolean {
   if (cls.reservedAbove === 0) return true;
-  const kept = Math.round(cls.reservedAbove * service.heldSlots);
-  if (kept === 0) return true;
+  const reserved = Math.round(cls.reservedAbove * service.heldSlots);
+  if (reserved === 0) return true;
   let inUse = 0;
   for (let i = cls.index; i < service.classes.length; i++) {
     inUse += service.classes[i]!.inUse;
   }
-  return inUse < service.heldSlots - kept;
+  return inUse < service.heldSlots - reserved;
 }
 
-function startAtOnce(
+function startImmediately(
   vm: VmState,
   req: RequestState,
   ctx: { now: number; out: Effect[] },
@@ -132,7 +132,11 @@
   if (service.heldSlots <= service.inUse) return false;
   if (service.waiting > 0) return false;
   if (!mayTakeSlot(service, req.class)) return false;
-  const target = place(service, req, { distances: vm, ahead: 0, now: ctx.now });
+  const target = chooseTarget(service, req, {
+    distances: vm,
+    ahead: 0,
+    now: ctx.now,
+  });
   if (target === undefined) return false;
   vm.requests.set(req.request, req);
   start(vm, req, { target, kind: "dispatch", ...ctx });
@@ -141,9 +145,12 @@
 
 /** The first request of the first caller below its share, among the first few
  * callers in rotation. */
-function nextCaller(service: ServiceState, cls: ClassState): RequestState {
+function headOfNextCaller(
+  service: ServiceState,
+  cls: ClassState,
+): RequestState {
   const queue = cls.waiting;
-  const limit = Math.min(queue.callers, MOST_PASSED_OVER);
+  const limit = Math.min(queue.callers, MAX_SKIPPED_CALLERS);
   for (let i = 1; i < limit; i++) {
     const head = queue.peek()!;
     if (!service.isOverShare(head.caller)) return head;
@@ -165,7 +172,7 @@
 }
 
 /** Queues a request whose attempt failed, ahead of all others of its class. */
-export function enqueueAgain(
+export function requeue(
   vm: VmState,
   req: RequestState,
   now: number,
@@ -181,7 +188,7 @@
 
 /** Removes a request from its queue. If it was the next one, its caller moves
  * to the end of the rotation. */
-export function unqueue(req: RequestState): void {
+export function dequeue(req: RequestState): void {
   const queue = req.queue?.owner;
   if (queue === undefined) return;
   const isFirst = queue.peek() === req;
@@ -223,7 +230,7 @@
 }
 
 /** Refuses a request: it ends without a response from a target. */
-export function finish(
+export function refuse(
   vm: VmState,
   req: RequestState,
   end: { reason: RefuseReason; now: number; out: Effect[] },
@@ -233,7 +240,7 @@
     kind: "refuse",
     request: req.request,
     reason: end.reason,
-    retryAfterMs: vm.retryAfter.refused(end.now),
+    retryAfterMs: vm.retryAfter.nextDelayMs(end.now),
     notRun: !req.mayHaveRun,
   });
   if (req.running.length === 0) vm.requests.delete(req.request);
@@ -248,20 +255,20 @@
     kind: "refuse",
     request: event.request,
     reason: ctx.reason,
-    retryAfterMs: vm.retryAfter.refused(ctx.now),
+    retryAfterMs: vm.retryAfter.nextDelayMs(ctx.now),
     notRun: true,
   });
 }
 
-function refuseLongest(
+function refuseFromLongestQueue(
   vm: VmState,
   cls: ClassState,
   ctx: { now: number; out: Effect[] },
 ): void {
   const newest = cls.waiting.longest()?.tail;
   if (newest === undefined) return;
-  unqueue(newest);
-  finish(vm, newest, { reason: "overload", ...ctx });
+  dequeue(newest);
+  refuse(vm, newest, { reason: "overload", ...ctx });
 }
 
 function newRequest(
--- a/packages/decisions/src/retry_after.ts
+++ b/packages/decisions/src/retry_after.ts
@@ -14,23 +14,23 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 
 /** Minimum delay: the header has a resolution of whole seconds. */
-const EARLIEST_MS = 1_000;
+const MIN_DELAY_MS = 1_000;
 /** Maximum delay, so that no caller has to wait for minutes. */
-const LATEST_MS = 30_000;
+const MAX_DELAY_MS = 30_000;
 /** Window in which responses are counted. */
 const WINDOW_MS = 1_000;
 /** Returning callers as a share of the requests served: half of the capacity
  * left at 80 % load. */
 const RETURN_SHARE = 0.1;
 /** Maximum jitter, as a share of the delay. */
-const JITTER = 0.5;
+const JITTER_SHARE = 0.5;
 
 /** Assigns return times to refused callers. */
 export class RetryAfter {
   readonly #rng: RandomGenerator;
   #windowStart = 0;
-  #answered = 0;
-  #answeredBefore = 0;
+  #served = 0;
+  #servedBefore = 0;
   /** Return time assigned last. */
   #nextAt = 0;
 
@@ -39,28 +39,31 @@
   }
 
   /** Records that a request was served. */
-  answered(now: number): void {
-    this.#roll(now);
-    this.#answered++;
+  recordServed(now: number): void {
+    this.#rollWindow(now);
+    this.#served++;
   }
 
   /** Assigns the next return time; returns the delay until then, in ms. */
-  refused(now: number): number {
-    this.#roll(now);
-    const served = Math.max(1, this.#answeredBefore, this.#answered);
-    const apart = WINDOW_MS / (served * RETURN_SHARE);
-    const earliest = now + EARLIEST_MS;
-    const latest = now + LATEST_MS;
-    this.#nextAt = Math.min(latest, Math.max(earliest, this.#nextAt + apart));
-    const wait = this.#nextAt - now;
-    const span = Math.ceil(JITTER * wait);
-    return Math.round(wait) + uniformInt(this.#rng, 0, span);
+  nextDelayMs(now: number): number {
+    this.#rollWindow(now);
+    const served = Math.max(1, this.#servedBefore, this.#served);
+    const spacingMs = WINDOW_MS / (served * RETURN_SHARE);
+    const earliest = now + MIN_DELAY_MS;
+    const latest = now + MAX_DELAY_MS;
+    this.#nextAt = Math.min(
+      latest,
+      Math.max(earliest, this.#nextAt + spacingMs),
+    );
+    const delayMs = this.#nextAt - now;
+    const jitterMs = Math.ceil(JITTER_SHARE * delayMs);
+    return Math.round(delayMs) + uniformInt(this.#rng, 0, jitterMs);
   }
 
-  #roll(now: number): void {
+  #rollWindow(now: number): void {
     if (now - this.#windowStart < WINDOW_MS) return;
-    this.#answeredBefore = this.#answered;
-    this.#answered = 0;
+    this.#servedBefore = this.#served;
+    this.#served = 0;
     this.#windowStart = now;
   }
 }
--- a/packages/decisions/src/retry_budget.ts
+++ b/packages/decisions/src/retry_budget.ts
@@ -11,15 +11,15 @@
 
 /** Most tokens that accumulate: enough for the requests in flight on the slots
  * that a VM holds at one target (6) when it dies, and some hedges. */
-const MOST_SAVED = 10;
+const MAX_TOKENS = 10;
 
 /** Token bucket, refilled by first attempts. */
 export class RetryBudget {
-  #tokens = MOST_SAVED;
+  #tokens = MAX_TOKENS;
 
   /** Adds tokens for a first attempt; `share` is the policy's retryShare. */
   earn(share: number): void {
-    this.#tokens = Math.min(MOST_SAVED, this.#tokens + share);
+    this.#tokens = Math.min(MAX_TOKENS, this.#tokens + share);
   }
 
   /** Takes one token for another attempt; returns whether there was one. */
--- a/packages/decisions/src/service_state.ts
+++ b/packages/decisions/src/service_state.ts
@@ -16,7 +16,7 @@
 /** Time constant for smoothing the demand that plans are made from. Callers
  * move between regions with their cached look-ups, over seconds; faster changes
  * are handled by lending. */
-const DEMAND_MS = 10_000;
+const DEMAND_SMOOTHING_MS = 10_000;
 
 /** A class of requests within one service. */
 export interface ClassState {
@@ -36,7 +36,7 @@
 }
 
 /** A peer's pending slot request. */
-export interface StandingAsk {
+export interface PendingSlotRequest {
   readonly from: VmId;
   readonly region: RegionId;
   slots: number;
@@ -48,7 +48,7 @@
 }
 
 /** This VM's last slot request to its peers. */
-export interface AskState {
+export interface SlotRequestState {
   /** Slots last requested; 0 if no request is pending. */
   slots: number;
   at: number;
@@ -72,14 +72,20 @@
   readonly time = new Estimator();
   readonly budget = new RetryBudget();
   readonly inUseBy = new Map<CallerId, number>();
-  readonly asks = new Map<VmId, StandingAsk>();
-  readonly asked: AskState = { slots: 0, at: Number.NEGATIVE_INFINITY };
-  readonly askedAfar: AskState = { slots: 0, at: Number.NEGATIVE_INFINITY };
+  readonly slotRequests = new Map<VmId, PendingSlotRequest>();
+  readonly requestedNearby: SlotRequestState = {
+    slots: 0,
+    at: Number.NEGATIVE_INFINITY,
+  };
+  readonly requestedRemotely: SlotRequestState = {
+    slots: 0,
+    at: Number.NEGATIVE_INFINITY,
+  };
   /** Smoothed number of slots that its requests occupy or wait for. */
   demand = 0;
   #demandAt = Number.NEGATIVE_INFINITY;
   /** Index in `held` at which the next search for a target starts. */
-  turn = 0;
+  searchStart = 0;
 
   readonly id: ServiceId;
 
@@ -88,7 +94,7 @@
   }
 
   /** Recomputes the usable slots after slots or lists changed. */
-  recount(): void {
+  recountHeld(): void {
     this.held = [];
     this.heldSlots = 0;
     for (const target of this.targets) {
@@ -127,9 +133,9 @@
   }
 
   /** Updates the smoothed demand. */
-  measure(now: number): void {
+  updateDemand(now: number): void {
     const slots = this.inUse + this.waiting;
-    const weight = 1 - Math.exp((this.#demandAt - now) / DEMAND_MS);
+    const weight = 1 - Math.exp((this.#demandAt - now) / DEMAND_SMOOTHING_MS);
     this.demand += weight * (slots - this.demand);
     this.#demandAt = now;
   }
--- a/packages/decisions/src/silence.ts
+++ b/packages/decisions/src/silence.ts
@@ -25,13 +25,13 @@
  * longer. */
 export const TERM_MS = 15_000;
 /** Longest deadline of a request, and so of its use of a lent slot. */
-const LONGEST_REQUEST_MS = 30_000;
+const MAX_REQUEST_MS = 30_000;
 /** Allowance for clock drift of 1 %, and for a pause between reading the clock
  * and sending. */
 const MARGIN_MS = 1_000;
 /** Time from the moment when no VM confirms the old plan until the unresponsive
  * VM has certainly stopped. */
-export const STOPPED_AFTER_MS = TERM_MS + LONGEST_REQUEST_MS + MARGIN_MS;
+export const STOPPED_AFTER_MS = TERM_MS + MAX_REQUEST_MS + MARGIN_MS;
 
 /** An unresponsive VM, and since when no other VM can have confirmed its plan. */
 export interface Silence {
@@ -43,7 +43,7 @@
 }
 
 /** State that the planner knows at the time of the check. */
-export interface SilenceInput {
+export interface StoppedVmsInput {
   /** Holdings of the plan in force, for targets and links. */
   readonly holdings: readonly Holding[];
   /** Highest sequence that each VM's current instance has confirmed. */
@@ -55,7 +55,7 @@
 }
 
 /** Unresponsive VMs, and VMs that have certainly stopped. */
-export interface SilenceResult {
+export interface StoppedVmsResult {
   readonly silences: readonly Silence[];
   readonly stopped: ReadonlySet<VmId>;
 }
@@ -63,11 +63,11 @@
 /** Updates the unresponsive VMs. A newly started planner passes an empty list. */
 export function watchSilence(
   before: readonly Silence[],
-  input: SilenceInput,
-): SilenceResult {
+  input: StoppedVmsInput,
+): StoppedVmsResult {
   const holders = new Set(input.holdings.map(({ vm }) => vm));
   const silences = [...holders].flatMap((vm) =>
-    silenceOf(vm, { before, holders, input }) ?? []
+    unresponsiveEntry(vm, { before, holders, input }) ?? []
   );
   const stopped = silences
     .filter(({ since }) => input.now >= since + STOPPED_AFTER_MS)
@@ -75,22 +75,22 @@
   return { silences, stopped: new Set([...input.gone, ...stopped]) };
 }
 
-function silenceOf(
+function unresponsiveEntry(
   vm: VmId,
   ctx: {
     before: readonly Silence[];
     holders: ReadonlySet<VmId>;
-    input: SilenceInput;
+    input: StoppedVmsInput;
   },
 ): Silence | undefined {
   const { before, holders, input } = ctx;
   const loweredIn = lastLowering(vm, input.holdings);
-  if (loweredIn === undefined || confirms(vm, loweredIn, input)) {
+  if (loweredIn === undefined || hasConfirmed(vm, loweredIn, input)) {
     return undefined;
   }
   const unheard = [...holders].some((other) =>
     other !== vm && !input.gone.has(other) &&
-    !confirms(other, loweredIn, input)
+    !hasConfirmed(other, loweredIn, input)
   );
   if (unheard) {
     return undefined;
@@ -116,6 +116,10 @@
   return last;
 }
 
-function confirms(vm: VmId, sequence: number, input: SilenceInput): boolean {
+function hasConfirmed(
+  vm: VmId,
+  sequence: number,
+  input: StoppedVmsInput,
+): boolean {
   return (input.confirmed.get(vm) ?? 0) >= sequence;
 }
--- a/packages/decisions/src/steering.ts
+++ b/packages/decisions/src/steering.ts
@@ -8,19 +8,19 @@
 import type { ServiceId, TargetId, VmId } from "@poplarthread/ids";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import * as attempts from "./attempts.ts";
-import type { Standing } from "./belief.ts";
+import type { HealthState } from "./target_health.ts";
 import type { Effect } from "./effect.ts";
 import type { SteeringEvent } from "./event.ts";
 import {
-  askDueAt,
-  borrowed,
-  loanEnded,
+  addLoan,
+  assignSlots,
+  endLoan,
   returnIdle,
-  settle,
+  slotRequestDueAt,
 } from "./exchange.ts";
 import { lateAt } from "./hedge.ts";
-import { IDLE_MS, noteAsk } from "./lending.ts";
-import { mostLookDead } from "./placement.ts";
+import { MAX_BORROWED_IDLE_MS, storeSlotRequest } from "./lending.ts";
+import { mostAreFailing } from "./placement.ts";
 import type { Policy } from "./policy.ts";
 import * as requests from "./requests.ts";
 import type { ServiceState } from "./service_state.ts";
@@ -42,7 +42,7 @@
   readonly lent: number;
   readonly borrowed: number;
   readonly inUse: number;
-  readonly standing: Standing | "leaving" | "drained";
+  readonly standing: HealthState | "leaving" | "drained";
   /** Response time relative to the usual one; 1 is usual. */
   readonly ratio: number;
 }
@@ -82,7 +82,7 @@
     let at = vm.giveUps.peek()?.giveUpAt ?? Number.POSITIVE_INFINITY;
     if (!vm.expired) at = Math.min(at, vm.planEndsAt);
     for (const service of vm.services.values()) {
-      if (service.waiting > 0) at = Math.min(at, askDueAt(service));
+      if (service.waiting > 0) at = Math.min(at, slotRequestDueAt(service));
       for (const cls of service.classes) {
         if (cls.hedgeHead !== undefined) {
           at = Math.min(at, lateAt(cls.hedgeHead));
@@ -100,10 +100,10 @@
     const out: Effect[] = [];
     const ctx = { now, out };
     if (now >= this.#vm.planEndsAt && !this.#vm.expired) this.#vm.expire();
-    const service = this.#take(event, ctx);
-    if (service === "all") this.#settleAll(ctx);
-    else if (service !== undefined) settle(this.#vm, service, ctx);
-    this.#confirm(out);
+    const service = this.#apply(event, ctx);
+    if (service === "all") this.#assignAllSlots(ctx);
+    else if (service !== undefined) assignSlots(this.#vm, service, ctx);
+    this.#confirmPlan(out);
     return out;
   }
 
@@ -111,10 +111,12 @@
   targets(now: number): TargetView[] {
     const views: TargetView[] = [];
     for (const target of this.#vm.targets.values()) {
-      const mostFail = mostLookDead(this.#vm.services.get(target.service)!);
-      let standing: TargetView["standing"] = target.belief.standing(
+      const mostFailing = mostAreFailing(
+        this.#vm.services.get(target.service)!,
+      );
+      let standing: TargetView["standing"] = target.health.stateAt(
         now,
-        mostFail,
+        mostFailing,
       );
       if (target.drained) standing = "drained";
       if (target.leaving) standing = "leaving";
@@ -126,7 +128,7 @@
         borrowed: target.borrowed,
         inUse: target.inUse,
         standing,
-        ratio: target.belief.ratio,
+        ratio: target.health.ratio,
       });
     }
     return views;
@@ -148,7 +150,7 @@
 
   /** Updates the state; returns the service whose free slots are to be
    * assigned. */
-  #take(
+  #apply(
     event: SteeringEvent,
     ctx: { now: number; out: Effect[] },
   ): ServiceState | "all" | undefined {
@@ -159,35 +161,35 @@
         return requests.arrive(vm, event, ctx);
       case "answering": {
         const req = vm.requests.get(event.request);
-        if (req !== undefined) attempts.answering(req, event.attempt, out);
+        if (req !== undefined) attempts.startResponse(req, event.attempt, out);
         return undefined;
       }
       case "ended": {
         const request = vm.requests.get(event.request);
         if (request === undefined) return undefined;
         const { attempt, outcome } = event;
-        attempts.ended(vm, { request, attempt, outcome }, ctx);
+        attempts.endAttempt(vm, { request, attempt, outcome }, ctx);
         return request.service;
       }
       case "gone": {
         const req = vm.requests.get(event.request);
         if (req === undefined) return undefined;
-        attempts.gone(vm, req, out);
+        attempts.abandon(vm, req, out);
         return req.service;
       }
       case "report":
-        vm.targets.get(event.target)?.belief
-          .reported(event.healthy, event.ageMs, now);
+        vm.targets.get(event.target)?.health
+          .recordReport(event.healthy, event.ageMs, now);
         return undefined;
       case "peer-belief":
-        vm.targets.get(event.target)?.belief.heard(event, now);
+        vm.targets.get(event.target)?.health.recordPeerReport(event, now);
         return undefined;
       case "target-leaving": {
         const target = vm.targets.get(event.target);
         if (target === undefined) return undefined;
         target.leaving = true;
         const service = vm.services.get(target.service);
-        service?.recount();
+        service?.recountHeld();
         return service;
       }
       case "targets":
@@ -210,13 +212,13 @@
         return "all";
       case "asked": {
         const service = vm.services.get(event.service);
-        if (service !== undefined) noteAsk(service, event, now);
+        if (service !== undefined) storeSlotRequest(service, event, now);
         return service;
       }
       case "borrowed":
-        return borrowed(vm, event, ctx);
+        return addLoan(vm, event, ctx);
       case "loan-ended":
-        return loanEnded(vm, event);
+        return endLoan(vm, event);
       case "tick":
         this.#tick(ctx);
         return "all";
@@ -227,23 +229,25 @@
     const vm = this.#vm;
     const { now } = ctx;
     this.#endLingering(now);
-    vm.dropLoans(now);
+    vm.dropExpiredLoans(now);
     for (;;) {
       const req = vm.giveUps.peek();
       if (req === undefined || req.giveUpAt > now) break;
       requests.giveUp(vm, req, ctx);
     }
     for (const service of vm.services.values()) {
-      for (const cls of service.classes) attempts.hedgeLate(vm, cls, ctx);
+      for (const cls of service.classes) {
+        attempts.hedgeLateRequests(vm, cls, ctx);
+      }
     }
     if (now < this.#nextReturnAt) return;
-    this.#nextReturnAt = now + IDLE_MS;
+    this.#nextReturnAt = now + MAX_BORROWED_IDLE_MS;
     returnIdle(vm, ctx);
   }
 
-  #settleAll(ctx: { now: number; out: Effect[] }): void {
+  #assignAllSlots(ctx: { now: number; out: Effect[] }): void {
     for (const service of this.#vm.services.values()) {
-      settle(this.#vm, service, ctx);
+      assignSlots(this.#vm, service, ctx);
     }
   }
 
@@ -256,11 +260,11 @@
     vm.lingering = vm.lingering.filter(({ until }) => until > now);
   }
 
-  #confirm(out: Effect[]): void {
+  #confirmPlan(out: Effect[]): void {
     const vm = this.#vm;
-    if (vm.unconfirmed === undefined || !vm.withinPlan) return;
-    out.push({ kind: "plan-applied", sequence: vm.unconfirmed });
-    vm.unconfirmed = undefined;
+    if (vm.unconfirmedPlan === undefined || !vm.withinPlan) return;
+    out.push({ kind: "plan-applied", sequence: vm.unconfirmedPlan });
+    vm.unconfirmedPlan = undefined;
   }
 
   #hasLoans(): boolean {
--- a/packages/decisions/src/steering_test.ts
+++ b/packages/decisions/src/steering_test.ts
@@ -45,7 +45,7 @@
   retryShare: 0.1,
 };
 
-/** VMs of one region with a plan in force. */
+/** The VMs of one region, with a plan in force. */
 function fleet(names: readonly string[]): Steering[] {
   const vms = names.map((name) => ({
     vm: id<VmId>(name),
@@ -95,8 +95,9 @@
   return { kind: "ended", request: id<RequestId>(name), attempt, outcome };
 }
 
-/** Fills the six slots of a lone VM with one caller's requests. */
-function filled(): Steering {
+/** A VM without peers whose six slots are all occupied by one caller's
+ * requests. */
+function filledVm(): Steering {
   const [vm] = fleet(["vm-1"]) as [Steering];
   for (let i = 0; i < 6; i++) {
     vm.handle(arrival(`busy-${i}`, { caller: "busy" }), 0);
@@ -104,15 +105,15 @@
   return vm;
 }
 
-function started(effects: readonly Effect[]): string[] {
+function dispatched(effects: readonly Effect[]): string[] {
   return effects.flatMap((effect) =>
     effect.kind === "dispatch" ? [effect.request as string] : []
   );
 }
 
 describe("waiting", () => {
-  test("the first class goes first, then callers in turn", () => {
-    const vm = filled();
+  test("requests are served by class, then round robin by caller", () => {
+    const vm = filledVm();
     const waiting = [
       arrival("a-1", { caller: "a" }),
       arrival("a-2", { caller: "a" }),
@@ -122,16 +123,17 @@
     ];
     for (const event of waiting) expect(vm.handle(event, 1)).toEqual([]);
     const order = [0, 1, 2, 3, 4].flatMap((i) =>
-      started(vm.handle(ended(`busy-${i}`, "answered"), 50 + i))
+      dispatched(vm.handle(ended(`busy-${i}`, "answered"), 50 + i))
     );
-    // The busy caller's turn came while it still held its share of the slots.
+    // The busy caller came up in rotation while it still held its full share of
+    // slots.
     expect(order).toEqual(["objection", "a-1", "b-1", "a-2", "busy-6"]);
   });
 
-  // A page's wait may last a second. Its caller would otherwise look at an
-  // empty page until its own patience ends.
-  test("a wait that runs out is answered at once, with when to return", () => {
-    const vm = filled();
+  // A request of this class may wait for a second. Without a refusal its caller
+  // would wait until its own timeout.
+  test("a request that waited too long is refused at once with a retry time", () => {
+    const vm = filledVm();
     vm.handle(arrival("late"), 1);
     expect(vm.handle({ kind: "tick" }, 1_002)).toMatchObject([{
       kind: "refuse",
@@ -141,10 +143,10 @@
     }]);
   });
 
-  // A queue of one busy caller is as long as it may be. A caller with a single
-  // request would notice a refusal for load that it did not make.
-  test("a full queue makes room for a caller that has nothing in it", () => {
-    const vm = filled();
+  // One busy caller has filled the queue. A caller with a single request would
+  // be refused for load that it did not cause.
+  test("a full queue admits a caller that has no request in it", () => {
+    const vm = filledVm();
     let refused = 0;
     for (let i = 0; i < 400; i++) {
       const effects = vm.handle(arrival(`more-${i}`, { caller: "busy" }), 1);
@@ -152,16 +154,16 @@
     }
     expect(refused).toBeGreaterThan(100);
     const effects = vm.handle(arrival("single"), 2);
-    const losers = effects.filter(({ kind }) => kind === "refuse");
-    expect(losers).toMatchObject([{ reason: "overload", notRun: true }]);
-    expect(losers).not.toMatchObject([{ request: "single" }]);
+    const refusals = effects.filter(({ kind }) => kind === "refuse");
+    expect(refusals).toMatchObject([{ reason: "overload", notRun: true }]);
+    expect(refusals).not.toMatchObject([{ request: "single" }]);
   });
 });
 
 describe("attempts", () => {
-  // The target's connection breaks after an objection was sent. It may be on
-  // the docket already; sent again, a clerk would answer it twice.
-  test("an objection that may have run is not sent again", () => {
+  // The connection to the target breaks after the request was sent. The target
+  // may have run it; sent again, it could run twice.
+  test("an at-most-once request that may have run is not retried", () => {
     const [vm] = fleet(["vm-1"]) as [Steering];
     vm.handle(arrival("o", { repeat: "at-most-once" }), 0);
     expect(vm.handle(ended("o", "failed-after-sent"), 9)).toMatchObject([
@@ -169,17 +171,17 @@
     ]);
   });
 
-  // Every target of the service dies. Each request is tried again, fails
-  // again, and the targets that come back are met by twice the load.
+  // All targets of the service die. If each request were retried, targets that
+  // recover would face twice the load.
   test("retries stay within their budget when everything fails", () => {
     const [vm] = fleet(["vm-1"]) as [Steering];
     let attempts = 0;
     for (let i = 0; i < 200; i++) {
-      let todo = vm.handle(arrival(`r${i}`), i * 100);
-      while (todo.some(({ kind }) => kind === "dispatch")) {
+      let effects = vm.handle(arrival(`r${i}`), i * 100);
+      while (effects.some(({ kind }) => kind === "dispatch")) {
         attempts++;
-        const sent = todo.find((effect) => effect.kind === "dispatch")!;
-        todo = vm.handle(
+        const sent = effects.find((effect) => effect.kind === "dispatch")!;
+        effects = vm.handle(
           ended(`r${i}`, "failed-before-sent", sent.attempt),
           i * 100 + 50,
         );
@@ -188,24 +190,24 @@
     expect(attempts).toBeLessThanOrEqual(200 * 1.1 + 10);
   });
 
-  // A target is dead and refuses connections at once. The VM that holds slots
-  // of no other would send it every request, faster than to any that works.
-  test("a dead target is left alone, also by a VM that holds no other", () => {
+  // A dead target refuses connections at once. A VM that holds slots of no
+  // other target would send it every request, faster than to a working one.
+  test("a dead target gets no more requests, even from a VM without another", () => {
     const [vm] = fleet(["vm-1"]) as [Steering];
     vm.handle({ kind: "target-leaving", target: targets[1]!.target }, 0);
     for (let i = 0; i < 3; i++) {
       const name = `r${i}`;
       const once = arrival(name, { repeat: "at-most-once" });
-      expect(started(vm.handle(once, i))).toEqual([name]);
+      expect(dispatched(vm.handle(once, i))).toEqual([name]);
       vm.handle(ended(name, "failed-after-sent"), i);
     }
     const next = arrival("next", { repeat: "at-most-once" });
-    expect(started(vm.handle(next, 9))).toEqual([]);
+    expect(dispatched(vm.handle(next, 9))).toEqual([]);
   });
 
-  // A target says with an answer that it is leaving. New work sent there would
-  // be cut when it goes.
-  test("a leaving target gets no new work from the first sign on", () => {
+  // A target announces that it is leaving. New work sent there would be aborted
+  // when it stops.
+  test("a leaving target gets no new work from its first report on", () => {
     const [vm] = fleet(["vm-1"]) as [Steering];
     const target = targets[0]!.target;
     vm.handle({ kind: "target-leaving", target }, 0);
@@ -215,33 +217,34 @@
     expect(used).toEqual(["t2", "t2", "t2"]);
   });
 
-  // A slot is lent for a second, and the request may take five. After the second
-  // the lender uses its slot again, and two requests run on it.
-  test("a borrowed slot is not used by what may outlast the loan", () => {
+  // A slot is lent for one second, but the request may take five. After that
+  // second the lender uses the slot again, so two requests would run on it.
+  test("a borrowed slot is not used by a request that may outlast the loan", () => {
     const [vm] = fleet(["vm-1", "vm-2"]) as [Steering, Steering];
     for (let i = 0; i < 3; i++) vm.handle(arrival(`own-${i}`), 0);
     vm.handle(arrival("next"), 0);
-    const loan = (durationMs: number): SteeringEvent => ({
+    const loanOf = (durationMs: number): SteeringEvent => ({
       kind: "borrowed",
       from: id<VmId>("vm-2"),
       target: targets[0]!.target,
       slots: 1,
       durationMs,
     });
-    expect(started(vm.handle(loan(1_000), 1))).toEqual([]);
-    expect(started(vm.handle(loan(20_000), 2))).toEqual(["next"]);
+    expect(dispatched(vm.handle(loanOf(1_000), 1))).toEqual([]);
+    expect(dispatched(vm.handle(loanOf(20_000), 2))).toEqual(["next"]);
   });
 
-  // The plan is not renewed: this VM may be cut off, and its slots given to
-  // another. Work sent on would push a target over what it carries.
-  test("slots of a plan that ran out are not used", () => {
+  // The plan is not renewed: this VM may be cut off, and its slots may have
+  // been reassigned. Work sent nevertheless could overload a target.
+  test("slots of an expired plan are not used", () => {
     const [vm] = fleet(["vm-1"]) as [Steering];
-    expect(started(vm.handle(arrival("a"), 9_999))).toEqual(["a"]);
-    expect(started(vm.handle(arrival("b"), 10_001))).toEqual([]);
+    expect(dispatched(vm.handle(arrival("a"), 9_999))).toEqual(["a"]);
+    expect(dispatched(vm.handle(arrival("b"), 10_001))).toEqual([]);
   });
 });
 
-/** Steps of a random history: what happens, to which VM, after how long. */
+/** Steps of a random sequence of events: what happens, at which VM, after which
+ * delay. */
 const steps = fc.array(
   fc.record({
     vm: fc.nat(2),
@@ -264,11 +267,11 @@
   { minLength: 50, maxLength: 300 },
 );
 
-test("any history keeps targets within their slots and ends requests once", () => {
+test("any sequence of events keeps targets within their slots and ends requests once", () => {
   fc.assert(
     fc.property(steps, (history) => {
       const world = new History();
-      for (const step of history) world.play(step);
+      for (const step of history) world.apply(step);
       world.finish();
       expect([...world.open]).toEqual([]);
     }),
@@ -283,7 +286,7 @@
   readonly vm: number;
 }
 
-/** Three VMs, their messages delivered late and in any order. */
+/** Three VMs whose messages are delivered late and in any order. */
 class History {
   readonly open = new Set<string>();
   #vms = fleet(["vm-1", "vm-2", "vm-3"]);
@@ -291,11 +294,11 @@
   #count = 0;
   #running: Running[] = [];
   #messages: { to: number; event: SteeringEvent }[] = [];
-  #home = new Map<string, number>();
-  #once = new Set<string>();
-  #maybeRan = new Set<string>();
+  #vmOf = new Map<string, number>();
+  #atMostOnce = new Set<string>();
+  #mayHaveRun = new Set<string>();
 
-  play(step: {
+  apply(step: {
     vm: number;
     wait: number;
     what: "arrive" | AttemptOutcome | "gone" | "deliver";
@@ -303,15 +306,15 @@
     once: boolean;
   }): void {
     this.#now += step.wait;
-    this.#tell(step.vm, { kind: "tick" });
+    this.#handle(step.vm, { kind: "tick" });
     switch (step.what) {
       case "arrive": {
         const name = `r${this.#count++}`;
         this.open.add(name);
-        this.#home.set(name, step.vm);
-        if (step.once) this.#once.add(name);
+        this.#vmOf.set(name, step.vm);
+        if (step.once) this.#atMostOnce.add(name);
         const repeat = step.once ? "at-most-once" : "idempotent";
-        this.#tell(step.vm, arrival(name, { repeat }));
+        this.#handle(step.vm, arrival(name, { repeat }));
         return;
       }
       case "deliver": {
@@ -319,7 +322,7 @@
           step.pick % Math.max(1, this.#messages.length),
           1,
         );
-        if (message !== undefined) this.#tell(message.to, message.event);
+        if (message !== undefined) this.#handle(message.to, message.event);
         return;
       }
       case "gone": {
@@ -327,7 +330,7 @@
         if (name === undefined) return;
         this.#close(name);
         const request = id<RequestId>(name);
-        this.#tell(this.#home.get(name)!, { kind: "gone", request });
+        this.#handle(this.#vmOf.get(name)!, { kind: "gone", request });
         return;
       }
       default:
@@ -335,14 +338,14 @@
     }
   }
 
-  /** Lets all that runs and waits come to its end. */
+  /** Lets all running and waiting requests end. */
   finish(): void {
     for (let i = 0; i < 200; i++) {
       this.#now += 50;
-      for (const vm of [0, 1, 2]) this.#tell(vm, { kind: "tick" });
+      for (const vm of [0, 1, 2]) this.#handle(vm, { kind: "tick" });
       if (this.#running.length > 0) this.#end(0, "answered");
       const message = this.#messages.shift();
-      if (message !== undefined) this.#tell(message.to, message.event);
+      if (message !== undefined) this.#handle(message.to, message.event);
     }
   }
 
@@ -352,30 +355,30 @@
       1,
     );
     if (run === undefined) return;
-    if (outcome === "failed-after-sent") this.#maybeRan.add(run.request);
+    if (outcome === "failed-after-sent") this.#mayHaveRun.add(run.request);
     if (outcome === "answered") this.open.delete(run.request);
-    this.#tell(run.vm, ended(run.request, outcome, run.attempt));
+    this.#handle(run.vm, ended(run.request, outcome, run.attempt));
   }
 
   #close(request: string): void {
     expect(this.open.delete(request)).toBe(true);
   }
 
-  #tell(vm: number, event: SteeringEvent): void {
+  #handle(vm: number, event: SteeringEvent): void {
     const steering = this.#vms[vm]!;
     for (const effect of steering.handle(event, this.#now)) {
-      this.#carryOut(vm, effect);
+      this.#execute(vm, effect);
     }
   }
 
-  #carryOut(vm: number, effect: Effect): void {
+  #execute(vm: number, effect: Effect): void {
     const from = this.#vms[vm]!.self;
     switch (effect.kind) {
       case "dispatch":
       case "hedge":
         expect(this.open.has(effect.request)).toBe(true);
         expect(
-          this.#once.has(effect.request) && this.#maybeRan.has(
+          this.#atMostOnce.has(effect.request) && this.#mayHaveRun.has(
             effect.request,
           ),
         ).toBe(false);
@@ -393,7 +396,9 @@
         return;
       }
       case "refuse":
-        expect(effect.notRun && this.#maybeRan.has(effect.request)).toBe(false);
+        expect(effect.notRun && this.#mayHaveRun.has(effect.request)).toBe(
+          false,
+        );
         this.#close(effect.request);
         return;
       case "ask":
--- a/packages/decisions/src/switch_check.ts
+++ b/packages/decisions/src/switch_check.ts
@@ -45,12 +45,12 @@
   service: ServicePolicy,
   demand: number,
 ): SwitchFinding[] {
-  const slots = slotsOf(next, service);
+  const slots = totalSlots(next, service);
   if (demand <= slots) return [];
   return [{
     kind: "service-short",
     service: service.id,
-    message: `${service.id} would have ${slots} slots, and ${
+    message: `${service.id} would have ${slots} slots, but ${
       round(demand)
     } are in use or waited for now`,
     severity: "error",
@@ -72,8 +72,8 @@
       kind: "region-short",
       service: service.id,
       region: id,
-      message: `${service.id} in ${id} would miss ${round(missing)} slots, ` +
-        `and its links carry ${links}`,
+      message: `${service.id} in ${id} would lack ${round(missing)} slots, ` +
+        `and its links carry at most ${links}`,
       severity: missing > links ? "error" : "warning",
     }];
   });
@@ -84,7 +84,7 @@
   service: ServicePolicy,
   demand: number,
 ): SwitchFinding[] {
-  const slots = slotsOf(next, service);
+  const slots = totalSlots(next, service);
   return next.regions.flatMap(({ id }): SwitchFinding[] => {
     const left = slots - regionSlots(service, id);
     if (demand <= left) return [];
@@ -92,9 +92,10 @@
       kind: "fallback-short",
       service: service.id,
       region: id,
-      message: `without ${id}, ${service.id} would have ${left} slots for ${
-        round(demand)
-      }`,
+      message:
+        `without ${id}, ${service.id} would have ${left} slots for a demand of ${
+          round(demand)
+        }`,
       severity: "warning",
     }];
   });
@@ -114,7 +115,7 @@
   return demand;
 }
 
-function slotsOf(policy: Policy, service: ServicePolicy): number {
+function totalSlots(policy: Policy, service: ServicePolicy): number {
   return policy.regions.reduce(
     (sum, { id }) => sum + regionSlots(service, id),
     0,
--- a/packages/decisions/src/belief.ts
+++ b/packages/decisions/src/target_health.ts
@@ -16,19 +16,19 @@
 /** Consecutive failures after which a target gets no new work. At a failure
  * rate of 1 %, two in a row happen by chance about once in 10,000 requests,
  * three once in a million. */
-const FAILURES_TO_STOP = 3;
+const MIN_FAILURES = 3;
 
 /** Pause before one request probes a failing target: the first one, doubled
  * each time up to the longest. Half a second is about ten times a usual
  * request. */
-const FIRST_PAUSE_MS = 500;
-const LONGEST_PAUSE_MS = 8_000;
+const INITIAL_PAUSE_MS = 500;
+const MAX_PAUSE_MS = 8_000;
 
 /** Back-off after a target refused for lack of capacity: the first one and the
  * longest. The first is about one usual request, after which a slot there
  * should be free. */
-const FIRST_REST_MS = 20;
-const LONGEST_REST_MS = 1_000;
+const INITIAL_BACK_OFF_MS = 20;
+const MAX_BACK_OFF_MS = 1_000;
 
 /** A target is slow when its requests take this many times the usual time of
  * their class. Lower ratios also occur by chance. */
@@ -38,48 +38,48 @@
  * ratios are capped, so that one long request among short ones can't mark a
  * target as slow. */
 const RATIO_WEIGHT = 0.1;
-const RATIO_CUT = 8;
+const MAX_RATIO = 8;
 
 /** A slow target without a response for this long may be tried once more. */
-const SLOW_PROBE_MS = 1_000;
+const SLOW_PROBE_INTERVAL_MS = 1_000;
 
 /** Expected ratio of a cold target, until it has given enough responses to be
  * judged by them. */
 const COLD_RATIO = 2;
-const WARM_AFTER_ANSWERS = 20;
+const WARM_AFTER_RESPONSES = 20;
 
 /** Age at which a report of the target or of another VM expires. Reports arrive
  * about once a second; this is three missing ones. */
-const WORD_EXPIRES_MS = 3_000;
+const REPORT_TTL_MS = 3_000;
 
 /** Number of other VMs that must report a target as failing before it counts as
  * failing here. */
-const PEERS_TO_STOP = 2;
+const MIN_FAILING_PEERS = 2;
 
 /** Health state of a target; `resting` means that it is in back-off. */
-export type Standing = "usable" | "resting" | "failing";
+export type HealthState = "usable" | "resting" | "failing";
 
 /** Health signals of one target, each with its age. */
-export class Belief {
-  /** Time taken against what is usual, 1 is usual. */
+export class TargetHealth {
+  /** Response time relative to the usual one; 1 is usual. */
   #ratio = 1;
-  #answers = 0;
+  #responses = 0;
   #failures = 0;
   #pauses = 0;
   #pauseUntil = 0;
   #refusals = 0;
-  #restUntil = 0;
-  #lastAnswerAt = Number.NEGATIVE_INFINITY;
+  #backOffUntil = 0;
+  #lastResponseAt = Number.NEGATIVE_INFINITY;
   #slowProbeAt = 0;
   #unhealthyUntil = 0;
-  #peers: Map<VmId, number> | undefined;
+  #failingPeers: Map<VmId, number> | undefined;
 
   /** Whether this VM's own attempts show that the target fails. */
   get failing(): boolean {
-    return this.#failures >= FAILURES_TO_STOP;
+    return this.#failures >= MIN_FAILURES;
   }
 
-  /** Time taken against what is usual, 1 is usual. */
+  /** Response time relative to the usual one; 1 is usual. */
   get ratio(): number {
     return this.#ratio;
   }
@@ -90,65 +90,65 @@
   }
 
   /** Records a response; `ratio` is its time relative to the usual. */
-  answered(ratio: number, now: number): void {
-    this.#answers++;
+  recordResponse(ratio: number, now: number): void {
+    this.#responses++;
     this.#failures = 0;
     this.#pauses = 0;
     this.#refusals = 0;
-    this.#restUntil = 0;
-    this.#lastAnswerAt = now;
-    const sample = Math.min(ratio, RATIO_CUT);
+    this.#backOffUntil = 0;
+    this.#lastResponseAt = now;
+    const sample = Math.min(ratio, MAX_RATIO);
     this.#ratio += RATIO_WEIGHT * (sample - this.#ratio);
   }
 
   /** Records an attempt that was cancelled after this ratio of the usual time:
    * a lower bound. */
-  tookAtLeast(ratio: number): void {
-    const sample = Math.min(ratio, RATIO_CUT);
+  recordLowerBound(ratio: number): void {
+    const sample = Math.min(ratio, MAX_RATIO);
     this.#ratio += RATIO_WEIGHT * (sample - this.#ratio);
   }
 
   /** Records a failed attempt or a server error. */
-  failed(now: number): void {
+  recordFailure(now: number): void {
     this.#failures++;
     if (!this.failing) return;
-    const pause = FIRST_PAUSE_MS * 2 ** Math.min(this.#pauses, 10);
+    const pauseMs = INITIAL_PAUSE_MS * 2 ** Math.min(this.#pauses, 10);
     this.#pauses++;
-    this.#pauseUntil = now + Math.min(pause, LONGEST_PAUSE_MS);
+    this.#pauseUntil = now + Math.min(pauseMs, MAX_PAUSE_MS);
   }
 
   /** Records that the target refused a request without running it. */
-  refused(now: number): void {
-    const rest = FIRST_REST_MS * 2 ** Math.min(this.#refusals, 10);
+  recordRefusal(now: number): void {
+    const backOffMs = INITIAL_BACK_OFF_MS * 2 ** Math.min(this.#refusals, 10);
     this.#refusals++;
-    this.#restUntil = now + Math.min(rest, LONGEST_REST_MS);
+    this.#backOffUntil = now + Math.min(backOffMs, MAX_BACK_OFF_MS);
   }
 
   /** Records the target's own health report; expired ones are ignored. */
-  reported(healthy: boolean, ageMs: number, now: number): void {
-    if (ageMs >= WORD_EXPIRES_MS) return;
-    this.#unhealthyUntil = healthy ? 0 : now - ageMs + WORD_EXPIRES_MS;
+  recordReport(healthy: boolean, ageMs: number, now: number): void {
+    if (ageMs >= REPORT_TTL_MS) return;
+    this.#unhealthyUntil = healthy ? 0 : now - ageMs + REPORT_TTL_MS;
   }
 
   /** Records another VM's report from its own attempts. */
-  heard(
-    word: { from: VmId; failing: boolean; ageMs: number },
+  recordPeerReport(
+    report: { from: VmId; failing: boolean; ageMs: number },
     now: number,
   ): void {
-    this.#peers ??= new Map();
-    if (word.failing) {
-      this.#peers.set(word.from, now - word.ageMs + WORD_EXPIRES_MS);
-    } else this.#peers.delete(word.from);
+    this.#failingPeers ??= new Map();
+    if (report.failing) {
+      this.#failingPeers.set(report.from, now - report.ageMs + REPORT_TTL_MS);
+    } else this.#failingPeers.delete(report.from);
   }
 
-  /** Current health state. Where `mostFail`, most targets of the service look
+  /** Current health state. Where `mostFailing`, most targets of the service look
    * dead from here. Then the cause is more likely the network or the signals,
    * and ejecting the targets would turn a partial fault into a total one. */
-  standing(now: number, mostFail: boolean): Standing {
-    if (this.#restUntil > now) return "resting";
-    if (mostFail) return "usable";
+  stateAt(now: number, mostFailing: boolean): HealthState {
+    if (this.#backOffUntil > now) return "resting";
+    if (mostFailing) return "usable";
     if (this.failing) return "failing";
-    if (this.#peersAgree(now)) return "failing";
+    if (this.#enoughPeersFailing(now)) return "failing";
     return "usable";
   }
 
@@ -159,16 +159,16 @@
 
   /** Records that a probe was sent. The next one is allowed after its outcome,
    * or after a pause. */
-  probed(now: number): void {
-    this.#pauseUntil = now + FIRST_PAUSE_MS;
+  recordProbe(now: number): void {
+    this.#pauseUntil = now + INITIAL_PAUSE_MS;
   }
 
   /** Extra time that a request is expected to take there, in ms, relative to
    * `usualMs`; 0 for a healthy target. */
   extraMs(usualMs: number, cold: boolean, now: number): number {
     let extra = 0;
-    if (this.slow) extra = this.#slowExtra(usualMs, now);
-    else if (cold && this.#answers < WARM_AFTER_ANSWERS) {
+    if (this.slow) extra = this.#slowExtraMs(usualMs, now);
+    else if (cold && this.#responses < WARM_AFTER_RESPONSES) {
       extra = (COLD_RATIO - 1) * usualMs;
     }
     if (this.#unhealthyUntil > now) extra += usualMs;
@@ -178,22 +178,25 @@
 
   /** Periodically lets one request treat a slow target as not slow: its
    * responses are the only sign of recovery. */
-  #slowExtra(usualMs: number, now: number): number {
-    const asked = this.#lastAnswerAt + SLOW_PROBE_MS > now ||
-      this.#slowProbeAt + SLOW_PROBE_MS > now;
-    return asked ? (this.#ratio - 1) * usualMs : 0;
+  #slowExtraMs(usualMs: number, now: number): number {
+    const wasTriedRecently =
+      this.#lastResponseAt + SLOW_PROBE_INTERVAL_MS > now ||
+      this.#slowProbeAt + SLOW_PROBE_INTERVAL_MS > now;
+    return wasTriedRecently ? (this.#ratio - 1) * usualMs : 0;
   }
 
   /** Records that a request was dispatched to the target. */
-  used(now: number): void {
+  recordDispatch(now: number): void {
     if (this.slow) this.#slowProbeAt = now;
   }
 
-  #peersAgree(now: number): boolean {
-    if (this.#peers === undefined || this.#peers.size === 0) return false;
-    if (this.#lastAnswerAt + WORD_EXPIRES_MS > now) return false;
+  #enoughPeersFailing(now: number): boolean {
+    if (this.#failingPeers === undefined || this.#failingPeers.size === 0) {
+      return false;
+    }
+    if (this.#lastResponseAt + REPORT_TTL_MS > now) return false;
     let failing = 0;
-    for (const until of this.#peers.values()) if (until > now) failing++;
-    return failing >= PEERS_TO_STOP;
+    for (const until of this.#failingPeers.values()) if (until > now) failing++;
+    return failing >= MIN_FAILING_PEERS;
   }
 }
--- a/packages/decisions/src/target_state.ts
+++ b/packages/decisions/src/target_state.ts
@@ -12,7 +12,7 @@
   VmId,
   ZoneId,
 } from "@poplarthread/ids";
-import { Belief } from "./belief.ts";
+import { TargetHealth } from "./target_health.ts";
 
 /** Slots borrowed from one VM with a common expiry. */
 export interface Loan {
@@ -23,7 +23,7 @@
 
 /** A target, whether or not this VM holds slots there. */
 export class TargetState {
-  readonly belief = new Belief();
+  readonly health = new TargetHealth();
   leaving = false;
   /** The latest target list did not name it. */
   gone = false;
@@ -47,17 +47,17 @@
   readonly zone: ZoneId;
 
   constructor(
-    place: {
+    entry: {
       target: TargetId;
       service: ServiceId;
       region: RegionId;
       zone: ZoneId;
     },
   ) {
-    this.id = place.target;
-    this.service = place.service;
-    this.region = place.region;
-    this.zone = place.zone;
+    this.id = entry.target;
+    this.service = entry.service;
+    this.region = entry.region;
+    this.zone = entry.zone;
   }
 
   /** Slots that this VM may use now. */
--- a/packages/decisions/src/vm_state.ts
+++ b/packages/decisions/src/vm_state.ts
@@ -15,7 +15,7 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Drains, TargetEntry, VmEntry } from "./event.ts";
 import { GiveUpHeap } from "./give_up_heap.ts";
-import { dropEndedLoans } from "./lending.ts";
+import { dropExpiredLoans } from "./lending.ts";
 import type { Allotment, LinkAllotment, Plan } from "./plan.ts";
 import type { Policy } from "./policy.ts";
 import { allotLinks, distanceMs, linksFrom, type LinkState } from "./remote.ts";
@@ -45,15 +45,15 @@
   /** Live VMs of this region, except this one. */
   neighbours: VmId[] = [];
   /** Live VMs of other regions. */
-  afar = new Map<RegionId, VmId[]>();
+  remoteVms = new Map<RegionId, VmId[]>();
   plan: Plan | undefined;
   planEndsAt = Number.POSITIVE_INFINITY;
   /** The plan expired: its slots may have been reassigned. */
   expired = false;
   /** Sequence of a plan not yet confirmed: more slots may still be in use than
    * it allots. */
-  unconfirmed: number | undefined;
-  readonly lost = new Set<RegionId>();
+  unconfirmedPlan: number | undefined;
+  readonly lostRegions = new Set<RegionId>();
   lingering: Lingering[] = [];
   #drains: Drains | undefined;
   #vms: readonly VmEntry[] = [];
@@ -78,16 +78,19 @@
   setVms(vms: readonly VmEntry[]): void {
     this.#vms = vms;
     this.neighbours = [];
-    this.afar = new Map();
-    const me = vms.find((entry) => entry.vm === this.self);
-    if (me !== undefined) {
-      this.region = me.region;
-      this.zone = me.zone;
+    this.remoteVms = new Map();
+    const self = vms.find((entry) => entry.vm === this.self);
+    if (self !== undefined) {
+      this.region = self.region;
+      this.zone = self.zone;
     }
     for (const { vm, region, live } of this.#vms) {
       if (vm === this.self || !live) continue;
       if (region === this.region) this.neighbours.push(vm);
-      else this.afar.set(region, [...this.afar.get(region) ?? [], vm]);
+      else {this.remoteVms.set(region, [
+          ...this.remoteVms.get(region) ?? [],
+          vm,
+        ]);}
     }
     this.#setLinks();
   }
@@ -104,7 +107,7 @@
     for (const target of this.targets.values()) {
       if (!named.has(target.id)) target.leaving = true;
       else if (target.leaving && !isLeaving(entries, target.id)) {
-        if (target.gone) this.#revive(target);
+        if (target.gone) this.#resetInstance(target);
       }
       target.gone = !named.has(target.id);
     }
@@ -123,15 +126,15 @@
     this.expired = false;
     const isNew = plan.sequence !== this.plan?.sequence;
     this.plan = plan;
-    if (isNew) this.unconfirmed = plan.sequence;
+    if (isNew) this.unconfirmedPlan = plan.sequence;
     if (validMs <= 0) this.expire();
     else this.#applySlots();
     this.#setLinks();
   }
 
   setLost(region: RegionId, lost: boolean): void {
-    if (lost) this.lost.add(region);
-    else this.lost.delete(region);
+    if (lost) this.lostRegions.add(region);
+    else this.lostRegions.delete(region);
     this.#applySlots();
     this.#setLinks();
   }
@@ -162,14 +165,14 @@
   }
 
   recountAll(): void {
-    for (const service of this.services.values()) service.recount();
+    for (const service of this.services.values()) service.recountHeld();
   }
 
-  dropLoans(now: number): void {
+  dropExpiredLoans(now: number): void {
     for (const target of this.targets.values()) {
       if (target.loans.length === 0) continue;
-      if (!dropEndedLoans(target, now)) continue;
-      this.services.get(target.service)!.recount();
+      if (!dropExpiredLoans(target, now)) continue;
+      this.services.get(target.service)!.recountHeld();
     }
   }
 
@@ -183,7 +186,7 @@
   }
 
   /** A target that had left the list and is named again is a new instance. */
-  #revive(target: TargetState): void {
+  #resetInstance(target: TargetState): void {
     target.leaving = false;
     target.cold = true;
   }
@@ -209,8 +212,8 @@
   }
 
   #fallback() {
-    if (this.lost.size !== 1) return undefined;
-    return this.plan?.fallbacks.find(({ lost }) => this.lost.has(lost));
+    if (this.lostRegions.size !== 1) return undefined;
+    return this.plan?.fallbacks.find(({ lost }) => this.lostRegions.has(lost));
   }
 
   #applySlots(): void {
