--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -85,7 +85,7 @@
 }
 
 function isStanding(queue: FairQueue, now: number): boolean {
-  return queue.size > 0 && queue.shortestWait(now) > STANDING_THRESHOLD_MS;
+  return queue.size > 0 && queue.shortestWaitMs(now) > STANDING_THRESHOLD_MS;
 }
 
 function standingLimitMs(
--- a/packages/decisions/src/attempts.ts
+++ b/packages/decisions/src/attempts.ts
@@ -75,7 +75,7 @@
 
 /** Sends late requests of a class to a second target while no requests wait and
  * the retry budget allows it. */
-export function hedgeLateRequests(
+export function hedgeLate(
   vm: VmState,
   cls: ClassState,
   ctx: { now: number; out: Effect[] },
--- a/packages/decisions/src/effect.ts
+++ b/packages/decisions/src/effect.ts
@@ -102,7 +102,7 @@
 
 /** This VM's own attempts show that a target fails or works again; to be
  * reported to peers. */
-export interface BeliefChanged {
+export interface HealthChanged {
   readonly kind: "belief-changed";
   readonly target: TargetId;
   readonly failing: boolean;
@@ -118,4 +118,4 @@
   | Lend
   | GiveBack
   | PlanApplied
-  | BeliefChanged;
+  | HealthChanged;
--- a/packages/decisions/src/event.ts
+++ b/packages/decisions/src/event.ts
@@ -171,7 +171,7 @@
  * Another VM requests slots. This replaces that VM's earlier request for the
  * same service and region; 0 slots withdraw it.
  */
-export interface Asked {
+export interface SlotsRequested {
   readonly kind: "asked";
   readonly from: VmId;
   readonly service: ServiceId;
@@ -226,7 +226,7 @@
   | PlanReceived
   | RegionLost
   | PolicyChanged
-  | Asked
+  | SlotsRequested
   | Borrowed
   | LoanEnded
   | Tick;
--- a/packages/decisions/src/exchange.ts
+++ b/packages/decisions/src/exchange.ts
@@ -101,16 +101,14 @@
     ? undefined
     : lending.firstSlotRequest(service, ctx.now);
   if (slotRequest !== undefined) {
-    const isPeerFirst = local === undefined ||
+    const forPeer = local === undefined ||
       lending.peerHasPriority(service, slotRequest, local);
-    if (isPeerFirst && handOverToPeer(vm, service, { slotRequest, ...ctx })) {
-      return true;
-    }
+    if (forPeer && handOver(vm, service, { slotRequest, ...ctx })) return true;
   }
   return local !== undefined && startNext(vm, local, ctx);
 }
 
-function handOverToPeer(
+function handOver(
   vm: VmState,
   service: ServiceState,
   ctx: { slotRequest: PendingSlotRequest; now: number; out: Effect[] },
@@ -135,9 +133,9 @@
 }
 
 /** Returns an idle borrowed slot for a peer that waits. A borrowed slot can't
- * be lent on; its owner, once it has it back, lends it to that peer. Kept until
- * its idle time ended, about two thirds of a slot per region idled while peers
- * waited. */
+ * be lent on; its owner, once it has it back, lends it to that peer. If such
+ * slots were kept until their idle time ended, about two thirds of a slot per
+ * region would idle while peers wait. */
 function returnForPeer(service: ServiceState, out: Effect[]): boolean {
   if (service.waiting > 0) return false;
   const target = lending.targetWithIdleLoan(service);
@@ -188,7 +186,7 @@
   for (const link of vm.links.values()) {
     if (vm.lostRegions.has(link.to)) continue;
     const slots = slotsWantedOver(service, link, hasLocalSlots);
-    const peer = pickRotating(vm.remoteVms.get(link.to), ctx.now);
+    const peer = pickRotating(vm.remote.get(link.to), ctx.now);
     if (slots === 0 || peer === undefined) continue;
     requestedRemotely.slots = slots;
     const to = { vm: peer, region: link.to };
--- a/packages/decisions/src/fair_queue.ts
+++ b/packages/decisions/src/fair_queue.ts
@@ -35,29 +35,29 @@
 export class FairQueue {
   size = 0;
   #windowStart = 0;
-  #shortestInWindow = 0;
-  #shortestInLastWindow = 0;
+  #shortestInWindowMs = 0;
+  #shortestInLastWindowMs = 0;
   #callers = new Map<CallerId, CallerQueue>();
   #front: CallerQueue | undefined;
 
   /** Shortest wait in ms among requests served in the last and the current
    * window; 0 if the queue was empty at any time. A burst's wait reaches 0 once
    * it is served; that of a standing queue does not. */
-  shortestWait(now: number): number {
+  shortestWaitMs(now: number): number {
     this.#rollWindow(now);
-    return Math.min(this.#shortestInLastWindow, this.#shortestInWindow);
+    return Math.min(this.#shortestInLastWindowMs, this.#shortestInWindowMs);
   }
 
   /** Records that a request got its slot after this wait. */
   recordWait(waitedMs: number, now: number): void {
     this.#rollWindow(now);
-    this.#shortestInWindow = Math.min(this.#shortestInWindow, waitedMs);
+    this.#shortestInWindowMs = Math.min(this.#shortestInWindowMs, waitedMs);
   }
 
   #rollWindow(now: number): void {
     if (now - this.#windowStart < WINDOW_MS) return;
-    this.#shortestInLastWindow = this.#shortestInWindow;
-    this.#shortestInWindow = Number.POSITIVE_INFINITY;
+    this.#shortestInLastWindowMs = this.#shortestInWindowMs;
+    this.#shortestInWindowMs = Number.POSITIVE_INFINITY;
     this.#windowStart = now;
   }
 
@@ -114,7 +114,7 @@
     queue.size--;
     this.size--;
     if (queue.size === 0) this.#drop(queue);
-    if (this.size === 0) this.#shortestInWindow = 0;
+    if (this.size === 0) this.#shortestInWindowMs = 0;
   }
 
   /** The request to serve next. */
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -16,7 +16,7 @@
 
 import type { RegionId, VmId } from "@poplarthread/ids";
 import type { Effect } from "./effect.ts";
-import type { Asked } from "./event.ts";
+import type { SlotsRequested } from "./event.ts";
 import type { RequestState } from "./request_state.ts";
 import type { PendingSlotRequest, ServiceState } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
@@ -67,13 +67,13 @@
  * them free at times, although its region has none to spare. */
 const MIN_LOCAL_ONLY_SLOTS = 2;
 
-/** Upper bound of all ranks. */
+/** Limit that includes requests of every rank. */
 const ANY_RANK = Number.POSITIVE_INFINITY;
 
 /** Stores a peer's slot request, replacing its earlier one. */
 export function storeSlotRequest(
   service: ServiceState,
-  slotRequest: Asked,
+  slotRequest: SlotsRequested,
   now: number,
 ): void {
   if (slotRequest.slots <= 0) {
@@ -113,19 +113,17 @@
   now: number,
 ): PendingSlotRequest | undefined {
   let first: PendingSlotRequest | undefined;
-  for (const slotRequest of service.slotRequests.values()) {
-    if (slotRequest.expiresAt <= now) {
-      service.slotRequests.delete(slotRequest.from);
+  for (const entry of service.slotRequests.values()) {
+    if (entry.expiresAt <= now) {
+      service.slotRequests.delete(entry.from);
       continue;
     }
-    if (first === undefined || hasPriorityOver(slotRequest, first)) {
-      first = slotRequest;
-    }
+    if (first === undefined || precedes(entry, first)) first = entry;
   }
   return first;
 }
 
-function hasPriorityOver(
+function precedes(
   a: PendingSlotRequest,
   b: PendingSlotRequest,
 ): boolean {
@@ -158,7 +156,8 @@
   return peerMs > localMs * (1 + MIN_GAIN_SHARE) + MIN_GAIN_MS;
 }
 
-/** Reduces a slot request by one granted slot, and its waits in proportion. */
+/** Reduces a peer's slot request by one granted slot, and its waits in
+ * proportion. */
 export function reduceRequest(
   service: ServiceState,
   slotRequest: PendingSlotRequest,
--- a/packages/decisions/src/plan_links.ts
+++ b/packages/decisions/src/plan_links.ts
@@ -124,12 +124,10 @@
   wanted: Map<VmId, number>,
 ): Map<VmId, number> {
   const sum = [...wanted.values()].reduce((a, b) => a + b, 0);
-  const previousSum = previous.reduce((total, { slots }) => total + slots, 0);
+  const old = previous.reduce((total, { slots }) => total + slots, 0);
   const isNear = previous.every(({ vm, slots }) =>
     wanted.has(vm) && Math.abs(wanted.get(vm)! - slots) <= 1
   );
-  if (sum !== previousSum || !isNear || previous.length !== wanted.size) {
-    return wanted;
-  }
+  if (sum !== old || !isNear || previous.length !== wanted.size) return wanted;
   return new Map(previous.map(({ vm, slots }) => [vm, slots]));
 }
--- a/packages/decisions/src/plan_slots.ts
+++ b/packages/decisions/src/plan_slots.ts
@@ -80,11 +80,9 @@
     weights.set(vm, input.demand.get(vm) ?? held.get(vm) ?? 1);
   }
   const sum = [...weights.values()].reduce((a, b) => a + b, 0);
-  const minWeight = MIN_WEIGHT_SHARE * Math.max(1, sum) /
+  const min = MIN_WEIGHT_SHARE * Math.max(1, sum) /
     Math.max(1, weights.size);
-  for (const [vm, weight] of weights) {
-    weights.set(vm, Math.max(minWeight, weight));
-  }
+  for (const [vm, weight] of weights) weights.set(vm, Math.max(min, weight));
   const ideal = largestRemainder(weights, input.total);
   return stepTowards(held, ideal, input.total);
 }
@@ -109,12 +107,10 @@
     const isFar =
       excess > Math.max(1, HYSTERESIS_SHARE * (ideal.get(from!) ?? 0));
     // A VM without any slot can't serve its own requests until it gets one.
-    const isWithoutSlots = [...counts].some(([vm, slots]) =>
+    const anyEmpty = [...counts].some(([vm, slots]) =>
       slots === 0 && ideal.get(vm)! > 0
     );
-    if (from === undefined || (unowned === 0 && !isFar && !isWithoutSlots)) {
-      break;
-    }
+    if (from === undefined || (unowned === 0 && !isFar && !anyEmpty)) break;
     counts.set(from, counts.get(from)! - 1);
     unowned++;
     if (unowned > 0) unowned -= addOne(counts, ideal);
--- a/packages/decisions/src/planner.ts
+++ b/packages/decisions/src/planner.ts
@@ -84,9 +84,9 @@
     allotments,
     links,
     shares,
-    credits: [...credits].map(([region, { available: saved }]) => ({
+    credits: [...credits].map(([region, { available }]) => ({
       region,
-      slots: saved,
+      slots: available,
     })),
     fallbacks: [],
   };
--- a/packages/decisions/src/planner_test.ts
+++ b/packages/decisions/src/planner_test.ts
@@ -90,11 +90,11 @@
 // slots.
 test("an unresponsive VM's slots are reassigned only after it has certainly stopped", () => {
   const first = nextPlan(inputOf());
-  const without = vms.map((vm) =>
+  const vmsNow = vms.map((vm) =>
     vm.vm === "north-vm-1" ? { ...vm, live: false } : vm
   );
-  const rest = ["north-vm-2", "north-vm-3"];
-  let plan = nextPlan(inputOf({ vms: without, previous: first }));
+  const others = ["north-vm-2", "north-vm-3"];
+  let plan = nextPlan(inputOf({ vms: vmsNow, previous: first }));
   const confirmed = new Map(
     vms.slice(1).map(({ vm }) => [vm, plan.sequence]),
   );
@@ -111,8 +111,8 @@
     const watched = watchSilence(silences, { holdings, confirmed, gone, now });
     silences = watched.silences;
     const { stopped } = watched;
-    plan = nextPlan(inputOf({ vms: without, previous: plan, stopped }));
-    expect(rest.map((vm) => slotsOf(plan, vm))).toEqual(slots);
+    plan = nextPlan(inputOf({ vms: vmsNow, previous: plan, stopped }));
+    expect(others.map((vm) => slotsOf(plan, vm))).toEqual(slots);
   }
 });
 
@@ -120,9 +120,9 @@
 // indefinitely, so no time is long enough to consider their slots free.
 test("two unresponsive VMs are never considered stopped unless they are gone", () => {
   const first = nextPlan(inputOf());
-  const away = vms.slice(0, 2).map(({ vm }) => vm);
-  const without = vms.map((vm) => ({ ...vm, live: !away.includes(vm.vm) }));
-  const plan = nextPlan(inputOf({ vms: without, previous: first }));
+  const cutOff = vms.slice(0, 2).map(({ vm }) => vm);
+  const vmsNow = vms.map((vm) => ({ ...vm, live: !cutOff.includes(vm.vm) }));
+  const plan = nextPlan(inputOf({ vms: vmsNow, previous: first }));
   const confirmed = new Map(
     vms.slice(2).map(({ vm }) => [vm, plan.sequence]),
   );
@@ -134,8 +134,8 @@
     now: 100 * STOPPED_AFTER_MS,
   });
   expect([...late.stopped]).toEqual([]);
-  const listed = { holdings, confirmed, gone: new Set(away), now: 0 };
-  expect([...watchSilence([], listed).stopped]).toEqual(away);
+  const listed = { holdings, confirmed, gone: new Set(cutOff), now: 0 };
+  expect([...watchSilence([], listed).stopped]).toEqual(cutOff);
 });
 
 // Plans are computed while VMs confirm late or never, join and leave, and
--- a/packages/decisions/src/silence.ts
+++ b/packages/decisions/src/silence.ts
@@ -66,13 +66,13 @@
   input: StoppedVmsInput,
 ): StoppedVmsResult {
   const holders = new Set(input.holdings.map(({ vm }) => vm));
-  const silences = [...holders].flatMap((vm) =>
+  const entries = [...holders].flatMap((vm) =>
     unresponsiveEntry(vm, { before, holders, input }) ?? []
   );
-  const stopped = silences
+  const stopped = entries
     .filter(({ since }) => input.now >= since + STOPPED_AFTER_MS)
     .map(({ vm }) => vm);
-  return { silences, stopped: new Set([...input.gone, ...stopped]) };
+  return { silences: entries, stopped: new Set([...input.gone, ...stopped]) };
 }
 
 function unresponsiveEntry(
@@ -95,8 +95,8 @@
   if (unheard) {
     return undefined;
   }
-  const earlier = before.find((silence) =>
-    silence.vm === vm && silence.loweredIn === loweredIn
+  const earlier = before.find((entry) =>
+    entry.vm === vm && entry.loweredIn === loweredIn
   );
   return earlier ?? { vm, loweredIn, since: input.now };
 }
@@ -107,13 +107,13 @@
   vm: VmId,
   holdings: readonly Holding[],
 ): number | undefined {
-  let last: number | undefined;
+  let lastSequence: number | undefined;
   for (const row of holdings) {
     if (row.vm === vm && row.mayHold > row.slots) {
-      last = Math.max(last ?? 0, row.loweredIn);
+      lastSequence = Math.max(lastSequence ?? 0, row.loweredIn);
     }
   }
-  return last;
+  return lastSequence;
 }
 
 function hasConfirmed(
--- a/packages/decisions/src/steering.ts
+++ b/packages/decisions/src/steering.ts
@@ -236,9 +236,7 @@
       requests.giveUp(vm, req, ctx);
     }
     for (const service of vm.services.values()) {
-      for (const cls of service.classes) {
-        attempts.hedgeLateRequests(vm, cls, ctx);
-      }
+      for (const cls of service.classes) attempts.hedgeLate(vm, cls, ctx);
     }
     if (now < this.#nextReturnAt) return;
     this.#nextReturnAt = now + MAX_BORROWED_IDLE_MS;
--- a/packages/decisions/src/steering_test.ts
+++ b/packages/decisions/src/steering_test.ts
@@ -143,8 +143,8 @@
     }]);
   });
 
-  // One busy caller has filled the queue. A caller with a single request would
-  // be refused for load that it did not cause.
+  // One busy caller has filled the queue. Without this rule a caller with a
+  // single request would be refused for load that it did not cause.
   test("a full queue admits a caller that has no request in it", () => {
     const vm = filledVm();
     let refused = 0;
@@ -270,10 +270,10 @@
 test("any sequence of events keeps targets within their slots and ends requests once", () => {
   fc.assert(
     fc.property(steps, (history) => {
-      const world = new History();
-      for (const step of history) world.apply(step);
-      world.finish();
-      expect([...world.open]).toEqual([]);
+      const simulation = new Simulation();
+      for (const step of history) simulation.apply(step);
+      simulation.finish();
+      expect([...simulation.open]).toEqual([]);
     }),
     { seed: 11, numRuns: 150 },
   );
@@ -287,7 +287,7 @@
 }
 
 /** Three VMs whose messages are delivered late and in any order. */
-class History {
+class Simulation {
   readonly open = new Set<string>();
   #vms = fleet(["vm-1", "vm-2", "vm-3"]);
   #now = 0;
--- a/packages/decisions/src/target_health.ts
+++ b/packages/decisions/src/target_health.ts
@@ -72,7 +72,8 @@
   #lastResponseAt = Number.NEGATIVE_INFINITY;
   #slowProbeAt = 0;
   #unhealthyUntil = 0;
-  #failingPeers: Map<VmId, number> | undefined;
+  /** VMs that report the target as failing, with the expiry of each report. */
+  #peers: Map<VmId, number> | undefined;
 
   /** Whether this VM's own attempts show that the target fails. */
   get failing(): boolean {
@@ -135,10 +136,10 @@
     report: { from: VmId; failing: boolean; ageMs: number },
     now: number,
   ): void {
-    this.#failingPeers ??= new Map();
+    this.#peers ??= new Map();
     if (report.failing) {
-      this.#failingPeers.set(report.from, now - report.ageMs + REPORT_TTL_MS);
-    } else this.#failingPeers.delete(report.from);
+      this.#peers.set(report.from, now - report.ageMs + REPORT_TTL_MS);
+    } else this.#peers.delete(report.from);
   }
 
   /** Current health state. Where `mostFailing`, most targets of the service look
@@ -191,12 +192,10 @@
   }
 
   #enoughPeersFailing(now: number): boolean {
-    if (this.#failingPeers === undefined || this.#failingPeers.size === 0) {
-      return false;
-    }
+    if (this.#peers === undefined || this.#peers.size === 0) return false;
     if (this.#lastResponseAt + REPORT_TTL_MS > now) return false;
     let failing = 0;
-    for (const until of this.#failingPeers.values()) if (until > now) failing++;
+    for (const until of this.#peers.values()) if (until > now) failing++;
     return failing >= MIN_FAILING_PEERS;
   }
 }
--- a/packages/decisions/src/vm_state.ts
+++ b/packages/decisions/src/vm_state.ts
@@ -45,7 +45,7 @@
   /** Live VMs of this region, except this one. */
   neighbours: VmId[] = [];
   /** Live VMs of other regions. */
-  remoteVms = new Map<RegionId, VmId[]>();
+  remote = new Map<RegionId, VmId[]>();
   plan: Plan | undefined;
   planEndsAt = Number.POSITIVE_INFINITY;
   /** The plan expired: its slots may have been reassigned. */
@@ -78,7 +78,7 @@
   setVms(vms: readonly VmEntry[]): void {
     this.#vms = vms;
     this.neighbours = [];
-    this.remoteVms = new Map();
+    this.remote = new Map();
     const self = vms.find((entry) => entry.vm === this.self);
     if (self !== undefined) {
       this.region = self.region;
@@ -87,10 +87,7 @@
     for (const { vm, region, live } of this.#vms) {
       if (vm === this.self || !live) continue;
       if (region === this.region) this.neighbours.push(vm);
-      else {this.remoteVms.set(region, [
-          ...this.remoteVms.get(region) ?? [],
-          vm,
-        ]);}
+      else this.remote.set(region, [...this.remote.get(region) ?? [], vm]);
     }
     this.#setLinks();
   }
