--- a/packages/decisions/src/give_up_heap.ts
+++ b/packages/decisions/src/give_up_heap.ts
@@ -1,5 +1,5 @@
 /**
- * Waiting requests by the time at which their wait ends.
+ * Waiting requests ordered by the time at which their wait ends.
  *
  * @module
  */
@@ -8,28 +8,29 @@
 
 interface Entry {
   readonly req: RequestState;
-  /** The request's `giveUpAt` when it was queued. A request that is queued again
-   * gets a second entry; changed in place, its first would break the order. */
+  /** The request's `giveUpAt` when it was queued. A request that is queued
+   * again gets a second entry, since changing the first in place would break
+   * the heap order. */
   readonly at: number;
 }
 
-/** Binary heap. Entries of requests that got a slot stay in until they come to
- * the top: taking them out early would cost more than passing over them. */
+/** Binary heap. Entries of requests that got a slot remain until they reach the
+ * top: removing them earlier would cost more than skipping them. */
 export class GiveUpHeap {
   #items: Entry[] = [];
 
   push(req: RequestState): void {
     const items = this.#items;
     const entry = { req, at: req.giveUpAt };
-    let at = items.length;
+    let index = items.length;
     items.push(entry);
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
       if (items[parent]!.at <= entry.at) break;
-      items[at] = items[parent]!;
-      at = parent;
+      items[index] = items[parent]!;
+      index = parent;
     }
-    items[at] = entry;
+    items[index] = entry;
   }
 
   /** The request whose wait ends first. */
@@ -42,19 +43,19 @@
     const items = this.#items;
     const last = items.pop()!;
     if (items.length === 0) return;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      let child = 2 * at + 1;
+      let child = 2 * index + 1;
       if (child >= items.length) break;
       const right = child + 1;
       if (right < items.length && items[right]!.at < items[child]!.at) {
         child = right;
       }
       if (items[child]!.at >= last.at) break;
-      items[at] = items[child]!;
-      at = child;
+      items[index] = items[child]!;
+      index = child;
     }
-    items[at] = last;
+    items[index] = last;
   }
 }
 
--- a/packages/decisions/src/lending.ts
+++ b/packages/decisions/src/lending.ts
@@ -1,198 +1,214 @@
 /**
- * Who asks whom for how many slots, and who gets a slot that falls free.
+ * Slot requests between VMs, and the choice of who gets a slot that becomes
+ * free.
  *
- * Answers callers that are not spread evenly over the entry VMs, with targets
- * of 3 or 6 slots shared by some ten VMs. With slots owned and never lent, a
- * request waits at one VM while a slot idles at the next; one notices waits at
- * loads where a central queue has none. So a VM with waiting requests tells its
- * peers how many wait, of which class and since when; a peer with a free slot
- * lends it at once, and a peer without one weighs the question against its own
- * queue whenever a slot falls free. The effect is that of one queue in order of
- * class and age, late by one message.
+ * Callers are not spread evenly over the entry VMs, and targets of 3 or 6 slots
+ * are shared by about ten VMs. If owned slots were never lent, a request would
+ * wait at one VM while a slot idles at the next, at loads where a central queue
+ * has no waits. So a VM with waiting requests tells its peers how many wait, of
+ * which class and for how long. A peer with a free slot lends it at once; a
+ * peer without one compares the slot request with its own queue whenever a slot
+ * becomes free. This approximates a single queue ordered by class and age,
+ * delayed by one message.
  *
  * @module
  */
 
 import type { RegionId, VmId } from "@poplarthread/ids";
 import type { Effect } from "./effect.ts";
-import type { Asked } from "./event.ts";
+import type { SlotsRequested } from "./event.ts";
 import type { RequestState } from "./request_state.ts";
-import type { ServiceState, StandingAsk } from "./service_state.ts";
+import type { PendingSlotRequest, ServiceState } from "./service_state.ts";
 import type { TargetState } from "./target_state.ts";
 
-/** How long slots are lent. It bounds what a dead borrower holds back, and must
- * exceed the deadlines of requests, since none may outlive its slot's loan. */
+/** Duration of a loan. It bounds how long a dead borrower can hold slots, and
+ * must exceed the deadlines of requests, since none may outlive the loan of its
+ * slot. */
 export const LOAN_MS = 30_000;
 
-/** A busy VM hands a slot over only if the peer's requests wait for longer than
- * its own by this much. A slot idles for some 6 ms on its way there and back
- * (1.5 ms one way between zones), so a gain must be a multiple of that: from
- * 6 ms to 30 ms the goodput at twice saturation rose by 6 % and p99 at 0.95 load
- * fell by 4 %; 60 ms gave 1 % more and moved slots too late to few callers. */
-const LEAST_GAIN_MS = 30;
+/** A busy VM hands a slot over only if the peer's requests wait longer than its
+ * own by this much. A slot idles for about 6 ms on its way there and back (1.5
+ * ms one way between zones), so the gain must be a multiple of that. From 6 ms
+ * to 30 ms, goodput at twice the saturation load rose by 6 % and p99 at 0.95
+ * load fell by 4 %; 60 ms gave 1 % more goodput, but slots moved too late with
+ * few callers. */
+const MIN_GAIN_MS = 30;
 
-/** The same as a share of the own wait. Under overload everyone waits for long,
- * and slots that are handed back and forth for small differences idle on the
- * way: without this, and with waits compared by age alone, a slot changed hands
- * 2.6 times a request and a tenth of the capacity was lost (measured:
- * saturation). */
-const LEAST_GAIN_SHARE = 0.5;
+/** The same as a share of the local wait. Under overload all waits are long,
+ * and slots that are passed back and forth for small differences idle on the
+ * way: without this, and with waits compared by age alone, a slot moved 2.6
+ * times per request and a tenth of the capacity was lost. */
+const MIN_GAIN_SHARE = 0.5;
 
-/** Shortest time between two questions about the same service: a round trip
- * between zones, within which no answer to the first one can have come. */
-export const ASK_AGAIN_MS = 4;
+/** Minimum interval between two requests for slots of the same service: a round
+ * trip between zones, within which no response to the first can have arrived. */
+export const MIN_REQUEST_INTERVAL_MS = 4;
 
-/** A standing question is repeated after this time, and forgotten by the peer
- * after the second one, in case its withdrawal was lost. */
-export const ASK_REFRESH_MS = 25;
-const ASK_EXPIRES_MS = 100;
+/** A pending slot request is repeated after the first time. The peer drops it
+ * after the second, in case its withdrawal was lost. */
+export const REQUEST_REFRESH_MS = 25;
+const REQUEST_TTL_MS = 100;
 
-/** A borrowed slot that idles this long goes back unasked. */
-export const IDLE_MS = 50;
+/** Idle time after which a borrowed slot is returned without a request. */
+export const MAX_BORROWED_IDLE_MS = 50;
 
-/** Share of its slots that a VM keeps free of loans into other regions: a slot
- * lent there is away for a round trip even when it is wanted back. */
-const KEEP_FROM_AFAR = 0.25;
+/** Share of its slots that a VM keeps free of loans into other regions: such a
+ * slot is away for a round trip even when it is needed locally. */
+const LOCAL_ONLY_SHARE = 0.25;
 
-/** A VM whose requests kept more than this share of its slots busy over the
- * last seconds has none to spare, whatever is free at the moment. A slot lent
- * over 110 ms is away for three usual requests: without this, at 0.95 load,
- * regions took each other's last slots, and the docket's p99 rose from 491 ms to
- * 634 ms. */
+/** A VM whose requests occupied more than this share of its slots over the last
+ * seconds lends none into other regions, even if some are free at the moment. A
+ * slot lent over 110 ms is away for about three usual requests: without this
+ * limit, at 0.95 load, regions took each other's last slots, and p99 of a
+ * service rose from 491 ms to 634 ms. */
 const BUSY_SHARE = 0.85;
 
-/** The least kept: a VM of few slots has most of them free now and then, also
- * at 0.95 load, when its region has none to spare. */
-const LEAST_KEPT_FROM_AFAR = 2;
+/** Minimum number kept free: at 0.95 load a VM with few slots also has most of
+ * them free at times, although its region has none to spare. */
+const MIN_LOCAL_ONLY_SLOTS = 2;
 
-/** Every rank is at most this. */
-const LAST_RANK = Number.POSITIVE_INFINITY;
+/** Limit that includes requests of every rank. */
+const ANY_RANK = Number.POSITIVE_INFINITY;
 
-/** Notes a peer's question, in place of its earlier one. */
-export function noteAsk(
+/** Stores a peer's slot request, replacing its earlier one. */
+export function storeSlotRequest(
   service: ServiceState,
-  ask: Asked,
+  slotRequest: SlotsRequested,
   now: number,
 ): void {
-  if (ask.slots <= 0) {
-    service.asks.delete(ask.from);
+  if (slotRequest.slots <= 0) {
+    service.slotRequests.delete(slotRequest.from);
     return;
   }
-  service.asks.set(ask.from, {
-    from: ask.from,
-    region: ask.region,
-    slots: ask.slots,
-    rank: ask.rank,
-    rankWaitMs: ask.rankWaitMs,
-    waitMs: ask.waitMs,
-    expiresAt: now + ASK_EXPIRES_MS,
+  service.slotRequests.set(slotRequest.from, {
+    from: slotRequest.from,
+    region: slotRequest.region,
+    slots: slotRequest.slots,
+    rank: slotRequest.rank,
+    rankWaitMs: slotRequest.rankWaitMs,
+    waitMs: slotRequest.waitMs,
+    expiresAt: now + REQUEST_TTL_MS,
   });
 }
 
-/** Whether every neighbour asks for slots itself: only then is the region short.
- * Asked afar in one VM's bad moment, slots of other regions were away for a
- * round trip each while a neighbour's came sooner: a tenth of the slots went
- * into way at 0.8 load, and p99 doubled (sales of Kinolenta). */
-export function allAsk(
+/** Whether all neighbours request slots too: only then is the region short of
+ * slots. When one VM's momentary shortage was enough, slots of other regions
+ * were away for a round trip each although a neighbour's would have come
+ * sooner: at 0.8 load a tenth of the slots was in transit, and p99 doubled. */
+export function allRequestSlots(
   service: ServiceState,
   neighbours: readonly VmId[],
   now: number,
 ): boolean {
   return neighbours.every((vm) => {
-    const ask = service.asks.get(vm);
-    return ask !== undefined && ask.expiresAt > now;
+    const slotRequest = service.slotRequests.get(vm);
+    return slotRequest !== undefined && slotRequest.expiresAt > now;
   });
 }
 
-/** The question that goes first: best class, then longest wait of it. */
-export function firstAsk(
+/** The slot request with the highest priority: best class, then longest wait of
+ * that class. */
+export function firstSlotRequest(
   service: ServiceState,
   now: number,
-): StandingAsk | undefined {
-  let first: StandingAsk | undefined;
-  for (const ask of service.asks.values()) {
-    if (ask.expiresAt <= now) {
-      service.asks.delete(ask.from);
+): PendingSlotRequest | undefined {
+  let first: PendingSlotRequest | undefined;
+  for (const entry of service.slotRequests.values()) {
+    if (entry.expiresAt <= now) {
+      service.slotRequests.delete(entry.from);
       continue;
     }
-    if (first === undefined || goesBefore(ask, first)) first = ask;
+    if (first === undefined || precedes(entry, first)) first = entry;
   }
   return first;
 }
 
-function goesBefore(a: StandingAsk, b: StandingAsk): boolean {
+function precedes(
+  a: PendingSlotRequest,
+  b: PendingSlotRequest,
+): boolean {
   if (a.rank !== b.rank) return a.rank < b.rank;
   return a.rankWaitMs > b.rankWaitMs;
 }
 
-/** Whether a peer's question goes before this VM's own waiting requests: it
- * waits for much longer with its best class, or with all of them while none of
- * a better class waits here. A caller that holds its share already goes after
- * every peer: without this one caller's VM drew in the slots of the whole
- * region, and the callers of other VMs waited as long as that one. */
-export function peerGoesFirst(
+/** Whether a peer's slot request has priority over this VM's own waiting
+ * requests: its best class waits much longer there, or all its requests do
+ * while no better class waits here. Local requests of a caller that holds its
+ * full share come after every peer; otherwise that caller's VM would draw in
+ * the slots of the whole region, and the callers of other VMs would wait as
+ * long as that caller. */
+export function peerHasPriority(
   service: ServiceState,
-  ask: StandingAsk,
-  own: RequestState,
+  slotRequest: PendingSlotRequest,
+  local: RequestState,
 ): boolean {
-  if (service.isOverShare(own.caller)) return true;
-  const ownRankWait = service.workMs(service.waitingTo(ask.rank));
-  if (isMuchLonger(ask.rankWaitMs, ownRankWait)) return true;
-  if (own.class.policy.rank < ask.rank) return false;
-  return isMuchLonger(ask.waitMs, service.workMs(service.waitingTo(LAST_RANK)));
+  if (service.isOverShare(local.caller)) return true;
+  const localRankWaitMs = service.workMs(service.waitingTo(slotRequest.rank));
+  if (isMuchLonger(slotRequest.rankWaitMs, localRankWaitMs)) return true;
+  if (local.class.policy.rank < slotRequest.rank) return false;
+  return isMuchLonger(
+    slotRequest.waitMs,
+    service.workMs(service.waitingTo(ANY_RANK)),
+  );
 }
 
-function isMuchLonger(theirs: number, own: number): boolean {
-  return theirs > own * (1 + LEAST_GAIN_SHARE) + LEAST_GAIN_MS;
+function isMuchLonger(peerMs: number, localMs: number): boolean {
+  return peerMs > localMs * (1 + MIN_GAIN_SHARE) + MIN_GAIN_MS;
 }
 
-/** One slot was handed over for a question: as much less waits there. */
-export function granted(service: ServiceState, ask: StandingAsk): void {
-  const left = (ask.slots - 1) / ask.slots;
-  ask.rankWaitMs *= left;
-  ask.waitMs *= left;
-  ask.slots--;
-  if (ask.slots === 0) service.asks.delete(ask.from);
+/** Reduces a peer's slot request by one granted slot, and its waits in
+ * proportion. */
+export function reduceRequest(
+  service: ServiceState,
+  slotRequest: PendingSlotRequest,
+): void {
+  const remainingShare = (slotRequest.slots - 1) / slotRequest.slots;
+  slotRequest.rankWaitMs *= remainingShare;
+  slotRequest.waitMs *= remainingShare;
+  slotRequest.slots--;
+  if (slotRequest.slots === 0) service.slotRequests.delete(slotRequest.from);
 }
 
-/** A target with a slot to hand over for a question: one borrowed from the
- * asker first, which is its own. */
-export function slotFor(
+/** A target with a slot to hand over for a slot request. Slots borrowed from
+ * the requesting VM come first. */
+export function targetWithSlotFor(
   service: ServiceState,
-  ask: StandingAsk,
-  ctx: { afar: boolean; mostFail: boolean; now: number },
+  slotRequest: PendingSlotRequest,
+  ctx: { isRemote: boolean; mostFailing: boolean; now: number },
 ): TargetState | undefined {
-  if (ctx.afar && !hasPlenty(service)) return undefined;
+  if (ctx.isRemote && !canSpareSlots(service)) return undefined;
   let found: TargetState | undefined;
   for (const target of service.held) {
-    if (target.region !== ask.region || target.free <= 0) continue;
-    if (owes(target, ask.from)) return target;
-    if (target.freeOwned <= 0 || target.belief.slow) continue;
-    if (target.belief.standing(ctx.now, ctx.mostFail) !== "usable") continue;
+    if (target.region !== slotRequest.region || target.free <= 0) continue;
+    if (hasBorrowedFrom(target, slotRequest.from)) return target;
+    if (target.freeOwned <= 0 || target.health.slow) continue;
+    if (target.health.stateAt(ctx.now, ctx.mostFailing) !== "usable") continue;
     found ??= target;
   }
   return found;
 }
 
 /** Whether slots of this target are borrowed from that VM. */
-export function owes(target: TargetState, to: VmId): boolean {
-  return target.loans.some((loan) => loan.from === to && loan.slots > 0);
+export function hasBorrowedFrom(target: TargetState, lender: VmId): boolean {
+  return target.loans.some((loan) => loan.from === lender && loan.slots > 0);
 }
 
 /** A target with a free borrowed slot. */
-export function idleBorrowed(service: ServiceState): TargetState | undefined {
+export function targetWithIdleLoan(
+  service: ServiceState,
+): TargetState | undefined {
   return service.held.find((target) => target.freeBorrowed > 0);
 }
 
-/** Hands one slot over: lends an owned one, gives a borrowed one back. */
-export function handOver(
+/** Hands one slot over: lends an owned one, or returns a borrowed one. */
+export function handOverOne(
   target: TargetState,
   to: VmId,
   out: Effect[],
 ): void {
   const loan = target.loans.find((loan) => loan.from === to && loan.slots > 0);
   if (loan !== undefined) {
-    takeFromLoan(target, loan);
+    reduceLoan(target, loan);
     out.push({ kind: "give-back", to, target: target.id, slots: 1 });
     return;
   }
@@ -206,11 +222,11 @@
   });
 }
 
-/** Gives one idle borrowed slot back to whom it belongs. */
-export function giveBackOne(target: TargetState, out: Effect[]): void {
+/** Returns one borrowed slot to its owner. */
+export function returnOne(target: TargetState, out: Effect[]): void {
   const loan = target.loans.find((loan) => loan.slots > 0);
   if (loan === undefined) return;
-  takeFromLoan(target, loan);
+  reduceLoan(target, loan);
   out.push({
     kind: "give-back",
     to: loan.from,
@@ -219,15 +235,15 @@
   });
 }
 
-function takeFromLoan(target: TargetState, loan: TargetState["loans"][number]) {
+function reduceLoan(target: TargetState, loan: TargetState["loans"][number]) {
   loan.slots--;
   target.borrowed--;
   if (loan.slots > 0) return;
   target.loans.splice(target.loans.indexOf(loan), 1);
 }
 
-/** Drops loans whose time has come. Returns whether there were any. */
-export function dropEndedLoans(target: TargetState, now: number): boolean {
+/** Drops expired loans. Returns whether there were any. */
+export function dropExpiredLoans(target: TargetState, now: number): boolean {
   let dropped = false;
   for (let i = target.loans.length - 1; i >= 0; i--) {
     const loan = target.loans[i]!;
@@ -239,8 +255,8 @@
   return dropped;
 }
 
-/** The next request in turn. */
-function headOf(service: ServiceState): RequestState | undefined {
+/** The next waiting request of the best class. */
+function firstWaiting(service: ServiceState): RequestState | undefined {
   for (const cls of service.classes) {
     const head = cls.waiting.peek();
     if (head !== undefined) return head;
@@ -248,13 +264,13 @@
   return undefined;
 }
 
-/** One question, addressed. */
-export function askEffect(
+/** The effect that sends a slot request to one VM. */
+export function slotRequestEffect(
   service: ServiceState,
   to: { vm: VmId; region: RegionId },
   slots: number,
 ): Effect {
-  const rank = headOf(service)?.class.policy.rank ?? 0;
+  const rank = firstWaiting(service)?.class.policy.rank ?? 0;
   return {
     kind: "ask",
     to: to.vm,
@@ -263,14 +279,14 @@
     slots,
     rank,
     rankWaitMs: service.workMs(service.waitingTo(rank)),
-    waitMs: service.workMs(service.waitingTo(LAST_RANK)),
+    waitMs: service.workMs(service.waitingTo(ANY_RANK)),
   };
 }
 
-function hasPlenty(service: ServiceState): boolean {
+function canSpareSlots(service: ServiceState): boolean {
   if (service.waiting > 0) return false;
   const free = service.heldSlots - service.inUse;
   if (service.demand > BUSY_SHARE * service.heldSlots) return false;
-  const kept = Math.ceil(service.heldSlots * KEEP_FROM_AFAR);
-  return free > Math.max(LEAST_KEPT_FROM_AFAR, kept);
+  const reserved = Math.ceil(service.heldSlots * LOCAL_ONLY_SHARE);
+  return free > Math.max(MIN_LOCAL_ONLY_SLOTS, reserved);
 }
--- a/packages/decisions/src/plan_links.ts
+++ b/packages/decisions/src/plan_links.ts
@@ -1,11 +1,11 @@
 /**
- * How much of each link each VM may use, raised in capped steps.
+ * Computes how much of each link each VM may use, raised in capped steps.
  *
- * Answers large shifts of traffic that meet cold caches. A region that takes
- * over much of another's work at once runs it at cold speed on all its slots,
- * and its own callers wait; one notices p99 of the region that was well rise
- * with the shift. So what may flow into a region grows by a capped share of its
- * slots a step, less while its caches are cold. Lowering is never capped.
+ * Large traffic shifts hit cold caches. A region that takes over much of
+ * another's work at once serves it at cold speed on all its slots, so its own
+ * callers wait and the p99 of a healthy region rises. So the traffic into a
+ * region grows by a capped share of its slots per step, and by less while its
+ * caches are cold. Lowering is never capped.
  *
  * @module
  */
@@ -17,34 +17,36 @@
 import type { PlannerInput } from "./planner.ts";
 import type { LinkPolicy } from "./policy.ts";
 
-/** What may still be moved into a region in this step, in slots. */
+/** Slots of traffic that may still be moved into a region in this step. */
 export interface Credit {
-  saved: number;
-  /** The cap of one step. */
+  available: number;
+  /** Cap of one step, in slots. */
   readonly cap: number;
 }
 
-/** Credits of all regions, drawn on by shares and links alike. */
+/** Credits of all regions, shared by caller shares and links. */
 export type Credits = Map<RegionId, Credit>;
 
-/** Adds what the time since the last plan allows. No more is ever saved up than
- * one step's cap; where that is less than one slot on a cold link, one slot, or
- * links into a small region could never be raised. */
-export function earnCredits(input: PlannerInput): Credits {
+/** Adds the allowance for the time since the last plan. At most one step's cap
+ * accumulates. Where that is less than one slot on a cold link, one slot may
+ * accumulate; otherwise links into a small region could never be raised. */
+export function accrueCredits(input: PlannerInput): Credits {
   const { shift, regions } = input.policy;
   const steps = Math.min(1, input.previousAgeMs / shift.stepMs);
   const credits: Credits = new Map();
   for (const { id } of regions) {
-    const before = input.previous?.credits.find(({ region }) => region === id);
+    const previous = input.previous?.credits.find(({ region }) =>
+      region === id
+    );
     const cap = shift.maxStepShare * openSlots(input, id);
-    const earned = (before?.slots ?? 0) + steps * cap;
-    const most = cap > 0 ? Math.max(1 / coldRatio(input), cap) : 0;
-    credits.set(id, { saved: Math.min(earned, most), cap });
+    const earned = (previous?.slots ?? 0) + steps * cap;
+    const maxCredit = cap > 0 ? Math.max(1 / coldRatio(input), cap) : 0;
+    credits.set(id, { available: Math.min(earned, maxCredit), cap });
   }
   return credits;
 }
 
-/** How much less a step may move over a cold link. */
+/** Factor by which a step is smaller on a cold link. */
 function coldRatio(input: PlannerInput): number {
   const { maxStepShare, coldStepShare } = input.policy.shift;
   return Math.min(1, Math.max(0.01, coldStepShare / maxStepShare));
@@ -82,47 +84,50 @@
   );
   const users = input.vms.filter((vm) => vm.live && vm.region === from);
   const reachable = input.vms.some((vm) => vm.live && vm.region === to);
-  const total = reachable ? raisedTo(input, link, ctx.credits, previous) : 0;
+  const total = reachable ? raisedTotal(input, link, ctx.credits, previous) : 0;
   const weights = new Map<VmId, number>(users.map(({ vm }) => [vm, 1]));
-  const wanted = keepNear(previous, largestRemainder(weights, total));
+  const wanted = keepDistribution(previous, largestRemainder(weights, total));
   return nextHoldings(previous, wanted, {
     total: link.maxInFlight,
     step: ctx.step,
   }).map((row) => ({ ...row, from, to }));
 }
 
-/** In flight over a link after this step. */
-function raisedTo(
+/** Total in-flight limit of a link after this step. */
+function raisedTotal(
   input: PlannerInput,
   link: LinkPolicy,
   credits: Credits,
   previous: readonly Holding[],
 ): number {
-  const now = previous.reduce((sum, { slots }) => sum + slots, 0);
-  if (now >= link.maxInFlight) return link.maxInFlight;
+  const current = previous.reduce((sum, { slots }) => sum + slots, 0);
+  if (current >= link.maxInFlight) return link.maxInFlight;
   const credit = credits.get(link.to);
-  if (credit === undefined) return now;
-  const isCold = now < link.maxInFlight / 2;
+  if (credit === undefined) return current;
+  const isCold = current < link.maxInFlight / 2;
   const ratio = isCold ? coldRatio(input) : 1;
   const others = Math.max(1, input.policy.regions.length - 1);
-  const even = Math.floor(credit.saved * ratio / others);
-  const least = Math.min(1, Math.floor(credit.saved * ratio));
-  const raise = Math.min(link.maxInFlight - now, Math.max(even, least));
-  credit.saved -= raise;
-  return now + raise;
+  const evenShare = Math.floor(credit.available * ratio / others);
+  const minRaise = Math.min(1, Math.floor(credit.available * ratio));
+  const raise = Math.min(
+    link.maxInFlight - current,
+    Math.max(evenShare, minRaise),
+  );
+  credit.available -= raise;
+  return current + raise;
 }
 
-/** Keeps what each VM has where the sum stays the same, so that an uneven rest
- * doesn't wander between VMs. */
-function keepNear(
+/** Keeps the previous distribution where the sum is unchanged, so that an
+ * uneven remainder does not move between VMs. */
+function keepDistribution(
   previous: readonly Holding[],
   wanted: Map<VmId, number>,
 ): Map<VmId, number> {
   const sum = [...wanted.values()].reduce((a, b) => a + b, 0);
-  const now = previous.reduce((total, { slots }) => total + slots, 0);
-  const near = previous.every(({ vm, slots }) =>
+  const old = previous.reduce((total, { slots }) => total + slots, 0);
+  const isNear = previous.every(({ vm, slots }) =>
     wanted.has(vm) && Math.abs(wanted.get(vm)! - slots) <= 1
   );
-  if (sum !== now || !near || previous.length !== wanted.size) return wanted;
+  if (sum !== old || !isNear || previous.length !== wanted.size) return wanted;
   return new Map(previous.map(({ vm, slots }) => [vm, slots]));
 }
--- a/packages/decisions/src/remote.ts
+++ b/packages/decisions/src/remote.ts
@@ -1,13 +1,13 @@
 /**
- * Local or remote: when a region's requests go to targets of another.
+ * Decides when a region's requests use targets of another region.
  *
- * Answers a region whose own slots do not suffice. Between regions a round trip
- * takes 110 ms or 40 ms, often more than the request itself: sent too early,
- * remote work is slower than waiting and takes slots that the other region
- * needs; sent never, a region saturates while others idle. So slots afar are
- * asked for only for requests whose expected wait exceeds the round trip, and
- * each link has a limit for this VM. Borrowing takes one more round trip, but a
- * borrowed slot serves many requests before it goes back.
+ * A region's own slots may not be enough. Between regions a round trip takes
+ * 110 ms or 40 ms, often longer than the request itself. Work sent too early is
+ * slower than waiting and takes slots that the other region needs; if none is
+ * sent, one region saturates while others idle. So slots of other regions are
+ * requested only for requests whose expected wait exceeds the round trip, and
+ * each link has a limit for this VM. Borrowing costs one more round trip, but a
+ * borrowed slot serves many requests before it is returned.
  *
  * @module
  */
@@ -19,14 +19,15 @@
 import type { TargetState } from "./target_state.ts";
 
 /** Round trip between zones of one region beyond that within a zone: one way
- * takes 1 to 1.5 ms. Only its order matters: the own zone is preferred. */
-const OTHER_ZONE_MS = 3;
+ * takes 1 to 1.5 ms. The exact value matters little: it makes targets in the
+ * VM's own zone preferred. */
+const CROSS_ZONE_ROUND_TRIP_MS = 3;
 
-/** Shortest time between two questions to another region, about one round
- * trip between regions. */
-export const ASK_AFAR_AGAIN_MS = 100;
+/** Minimum interval between two slot requests to other regions: about one round
+ * trip. */
+export const MIN_REMOTE_REQUEST_INTERVAL_MS = 100;
 
-/** A link of this VM's region to another. */
+/** A link from this VM's region to another. */
 export interface LinkState {
   readonly to: RegionId;
   readonly roundTripMs: number;
@@ -35,7 +36,7 @@
   inUse: number;
 }
 
-/** Links from one region, by their far end. */
+/** Links from one region, by their destination. */
 export function linksFrom(
   policy: Policy,
   from: RegionId,
@@ -62,7 +63,7 @@
     .sort((a, b) => a.oneWayMs - b.oneWayMs);
 }
 
-/** Takes over what the plan allots to a VM; links it doesn't name get 0. */
+/** Applies a VM's link allotments of the plan; links without one get 0. */
 export function allotLinks(
   links: ReadonlyMap<RegionId, LinkState>,
   allotments: readonly LinkAllotment[],
@@ -74,14 +75,15 @@
   }
 }
 
-/** Extra time of a target for its place alone, in ms. */
+/** Extra time of a target due to its location, in ms; infinite where the link
+ * is full. */
 export function distanceMs(
   target: TargetState,
-  here: { region: RegionId; zone: string },
+  local: { region: RegionId; zone: string },
   links: ReadonlyMap<RegionId, LinkState>,
 ): number {
-  if (target.region === here.region) {
-    return target.zone === here.zone ? 0 : OTHER_ZONE_MS;
+  if (target.region === local.region) {
+    return target.zone === local.zone ? 0 : CROSS_ZONE_ROUND_TRIP_MS;
   }
   const link = links.get(target.region);
   if (link === undefined || link.inUse >= link.limit) {
@@ -90,25 +92,26 @@
   return link.roundTripMs;
 }
 
-/** A slot afar is busy for the request and the round trip. Where that trip takes
- * more than this many usual requests, a borrowed slot serves two fifths or less
- * of what it serves at home: with the docket's requests of 52 ms over 110 ms,
- * borrowing made a slow target's p99 2.7 times the usual instead of 1.6, and
- * took goodput from both regions. */
-const MOST_TRIPS = 1.5;
+/** Longest round trip, as a multiple of the usual request time, over which
+ * slots are borrowed. A slot in another region is occupied for the request and
+ * the round trip; beyond this limit it serves two fifths or less of what it
+ * serves locally. With requests of 52 ms over 110 ms, borrowing made the p99
+ * with one slow target 2.7 times the usual instead of 1.6, and reduced the
+ * goodput of both regions. */
+const MAX_ROUND_TRIP_RATIO = 1.5;
 
-/** Waiting requests that would be served sooner from afar over this link.
- * `hasOwn`: there are slots in this VM's region, so that waiting leads to one. */
-export function wantedAfar(
+/** Number of waiting requests that would be served sooner over this link.
+ * `hasLocalSlots`: this VM's region has slots, so waiting leads to one. */
+export function slotsWantedOver(
   service: ServiceState,
   link: LinkState,
-  hasOwn: boolean,
+  hasLocalSlots: boolean,
 ): number {
   const room = link.limit - link.inUse;
   if (room <= 0) return 0;
-  const isFar = link.roundTripMs > MOST_TRIPS * service.time.mean;
-  if (isFar && hasOwn) return 0;
-  const inTime = link.roundTripMs / service.waitMs(0);
-  const late = service.waiting - Math.floor(inTime);
-  return Math.max(0, Math.min(room, late));
+  const isFar = link.roundTripMs > MAX_ROUND_TRIP_RATIO * service.time.mean;
+  if (isFar && hasLocalSlots) return 0;
+  const servedInTime = link.roundTripMs / service.waitMs(0);
+  const servedSooner = service.waiting - Math.floor(servedInTime);
+  return Math.max(0, Math.min(room, servedSooner));
 }
--- a/packages/decisions/src/retry_after.ts
+++ b/packages/decisions/src/retry_after.ts
@@ -1,12 +1,11 @@
 /**
- * When a refused caller is told to come back.
+ * Computes the Retry-After time of refused callers.
  *
- * Answers callers that come back together. With one fixed time all that were
- * refused in a second return in one second, are refused again, and the peak
- * repeats; one notices refusals in waves of that period, and saturation that
- * outlasts its cause. So each refused caller is given the next place on a line
- * on which only a share of what is served may come back each second, and comes
- * back at a random time around its place.
+ * With one fixed time, all callers refused in one second would retry in one
+ * second and be refused again: refusals would come in waves, and saturation
+ * would outlast its cause. So refused callers get consecutive return times,
+ * spaced so that returning callers make up only a share of the requests served
+ * per second, and each time is jittered.
  *
  * @module
  */
@@ -14,54 +13,57 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 
-/** Earliest return: the header counts whole seconds. */
-const EARLIEST_MS = 1_000;
-/** Latest return, so that a caller is never sent away for minutes. */
-const LATEST_MS = 30_000;
-/** Window in which answers are counted. */
+/** Minimum delay: the header has a resolution of whole seconds. */
+const MIN_DELAY_MS = 1_000;
+/** Maximum delay, so that no caller has to wait for minutes. */
+const MAX_DELAY_MS = 30_000;
+/** Window in which responses are counted. */
 const WINDOW_MS = 1_000;
-/** Share of what is served that returning callers may make up: half of what an
- * ordinary day at 80 % load leaves. */
+/** Returning callers as a share of the requests served: half of the capacity
+ * left at 80 % load. */
 const RETURN_SHARE = 0.1;
-/** Span around its place in which a caller returns, as a share of the time. */
-const JITTER = 0.5;
+/** Maximum jitter, as a share of the delay. */
+const JITTER_SHARE = 0.5;
 
-/** Gives out places to come back. */
+/** Assigns return times to refused callers. */
 export class RetryAfter {
   readonly #rng: RandomGenerator;
   #windowStart = 0;
-  #answered = 0;
-  #answeredBefore = 0;
-  /** Time of the next place. */
+  #served = 0;
+  #servedBefore = 0;
+  /** Return time assigned last. */
   #nextAt = 0;
 
   constructor(rng: RandomGenerator) {
     this.#rng = rng;
   }
 
-  /** A request was answered. */
-  answered(now: number): void {
-    this.#roll(now);
-    this.#answered++;
+  /** Records that a request was served. */
+  recordServed(now: number): void {
+    this.#rollWindow(now);
+    this.#served++;
   }
 
-  /** A request is refused; returns when to come back, in ms from now. */
-  refused(now: number): number {
-    this.#roll(now);
-    const served = Math.max(1, this.#answeredBefore, this.#answered);
-    const apart = WINDOW_MS / (served * RETURN_SHARE);
-    const earliest = now + EARLIEST_MS;
-    const latest = now + LATEST_MS;
-    this.#nextAt = Math.min(latest, Math.max(earliest, this.#nextAt + apart));
-    const wait = this.#nextAt - now;
-    const span = Math.ceil(JITTER * wait);
-    return Math.round(wait) + uniformInt(this.#rng, 0, span);
+  /** Assigns the next return time; returns the delay until then, in ms. */
+  nextDelayMs(now: number): number {
+    this.#rollWindow(now);
+    const served = Math.max(1, this.#servedBefore, this.#served);
+    const spacingMs = WINDOW_MS / (served * RETURN_SHARE);
+    const earliest = now + MIN_DELAY_MS;
+    const latest = now + MAX_DELAY_MS;
+    this.#nextAt = Math.min(
+      latest,
+      Math.max(earliest, this.#nextAt + spacingMs),
+    );
+    const delayMs = this.#nextAt - now;
+    const jitterMs = Math.ceil(JITTER_SHARE * delayMs);
+    return Math.round(delayMs) + uniformInt(this.#rng, 0, jitterMs);
   }
 
-  #roll(now: number): void {
+  #rollWindow(now: number): void {
     if (now - this.#windowStart < WINDOW_MS) return;
-    this.#answeredBefore = this.#answered;
-    this.#answered = 0;
+    this.#servedBefore = this.#served;
+    this.#served = 0;
     this.#windowStart = now;
   }
 }
--- a/packages/decisions/src/switch_check.ts
+++ b/packages/decisions/src/switch_check.ts
@@ -1,9 +1,10 @@
 /**
- * Whether the traffic of the moment could be carried under another policy,
- * asked before it is switched to.
+ * Checks, before a switch to another policy, whether the current traffic could
+ * be served under it.
  *
- * Answers a switch that is right on paper and wrong at this hour: a maintenance
- * preset that leaves half of the targets, taken into force on a busy evening.
+ * This catches switches that are valid in general but wrong at the current
+ * load, such as a maintenance preset that leaves half of the targets, switched
+ * to on a busy evening.
  *
  * @module
  */
@@ -13,17 +14,17 @@
 import type { MeasuredDemand } from "./planner.ts";
 import type { Policy, ServicePolicy } from "./policy.ts";
 
-/** One reason why a policy can't be switched to as it is. */
+/** A reason why a policy can't be switched to, or a warning about it. */
 export interface SwitchFinding {
   readonly kind: "service-short" | "region-short" | "fallback-short";
   readonly service: ServiceId;
   readonly region?: RegionId;
   readonly message: string;
-  /** A warning doesn't forbid the switch. */
+  /** A warning doesn't prevent the switch. */
   readonly severity: "error" | "warning";
 }
 
-/** Findings on a switch to `next` at the demand that is measured now. */
+/** Checks a switch to `next` against the currently measured demand. */
 export function checkSwitch(
   next: Policy,
   now: { demand: readonly MeasuredDemand[]; vms: readonly VmEntry[] },
@@ -44,19 +45,19 @@
   service: ServicePolicy,
   demand: number,
 ): SwitchFinding[] {
-  const slots = slotsOf(next, service);
+  const slots = totalSlots(next, service);
   if (demand <= slots) return [];
   return [{
     kind: "service-short",
     service: service.id,
-    message: `${service.id} would have ${slots} slots, and ${
+    message: `${service.id} would have ${slots} slots, but ${
       round(demand)
     } are in use or waited for now`,
     severity: "error",
   }];
 }
 
-/** A region that is short can borrow over its links, within their limits. */
+/** A region that lacks slots can borrow over its links, up to their limits. */
 function regionFindings(
   next: Policy,
   service: ServicePolicy,
@@ -71,8 +72,8 @@
       kind: "region-short",
       service: service.id,
       region: id,
-      message: `${service.id} in ${id} would miss ${round(missing)} slots, ` +
-        `and its links carry ${links}`,
+      message: `${service.id} in ${id} would lack ${round(missing)} slots, ` +
+        `and its links carry at most ${links}`,
       severity: missing > links ? "error" : "warning",
     }];
   });
@@ -83,7 +84,7 @@
   service: ServicePolicy,
   demand: number,
 ): SwitchFinding[] {
-  const slots = slotsOf(next, service);
+  const slots = totalSlots(next, service);
   return next.regions.flatMap(({ id }): SwitchFinding[] => {
     const left = slots - regionSlots(service, id);
     if (demand <= left) return [];
@@ -91,9 +92,10 @@
       kind: "fallback-short",
       service: service.id,
       region: id,
-      message: `without ${id}, ${service.id} would have ${left} slots for ${
-        round(demand)
-      }`,
+      message:
+        `without ${id}, ${service.id} would have ${left} slots for a demand of ${
+          round(demand)
+        }`,
       severity: "warning",
     }];
   });
@@ -113,7 +115,7 @@
   return demand;
 }
 
-function slotsOf(policy: Policy, service: ServicePolicy): number {
+function totalSlots(policy: Policy, service: ServicePolicy): number {
   return policy.regions.reduce(
     (sum, { id }) => sum + regionSlots(service, id),
     0,
--- a/packages/decisions/src/target_state.ts
+++ b/packages/decisions/src/target_state.ts
@@ -1,6 +1,6 @@
 /**
- * One target as this VM knows it: the slots that it holds there, and what it
- * has seen of it.
+ * State of one target on this VM: the slots that this VM holds there, and the
+ * target's health.
  *
  * @module
  */
@@ -12,9 +12,9 @@
   VmId,
   ZoneId,
 } from "@poplarthread/ids";
-import { Belief } from "./belief.ts";
+import { TargetHealth } from "./target_health.ts";
 
-/** Slots borrowed from one VM, with one end. */
+/** Slots borrowed from one VM with a common expiry. */
 export interface Loan {
   readonly from: VmId;
   slots: number;
@@ -23,22 +23,22 @@
 
 /** A target, whether or not this VM holds slots there. */
 export class TargetState {
-  readonly belief = new Belief();
+  readonly health = new TargetHealth();
   leaving = false;
-  /** The last target list did not name it. */
+  /** The latest target list did not name it. */
   gone = false;
   drained = false;
   cold = false;
   /** Slots that the plan allots to this VM. */
   owned = 0;
-  /** Of these, lent to other VMs. */
+  /** Owned slots that are lent to other VMs. */
   lent = 0;
-  /** Slots of other VMs that this one may use. */
+  /** Slots borrowed from other VMs. */
   borrowed = 0;
   readonly loans: Loan[] = [];
   /** Attempts running. */
   inUse = 0;
-  /** Since when a borrowed slot has been free. */
+  /** Time since which a borrowed slot may have been idle. */
   idleSince = 0;
 
   readonly id: TargetId;
@@ -47,17 +47,17 @@
   readonly zone: ZoneId;
 
   constructor(
-    place: {
+    entry: {
       target: TargetId;
       service: ServiceId;
       region: RegionId;
       zone: ZoneId;
     },
   ) {
-    this.id = place.target;
-    this.service = place.service;
-    this.region = place.region;
-    this.zone = place.zone;
+    this.id = entry.target;
+    this.service = entry.service;
+    this.region = entry.region;
+    this.zone = entry.zone;
   }
 
   /** Slots that this VM may use now. */
@@ -65,8 +65,8 @@
     return this.owned - this.lent + this.borrowed;
   }
 
-  /** Slots without an attempt. Negative after a plan lowered the target while
-   * attempts ran. */
+  /** Slots without an attempt. Negative after a plan lowered the target's slots
+   * while attempts ran. */
   get free(): number {
     return this.owned - this.lent + this.borrowed - this.inUse;
   }
@@ -76,12 +76,13 @@
     return Math.max(0, this.owned - this.lent - this.inUse);
   }
 
-  /** Free slots to give back. */
+  /** Free borrowed slots, which can be returned. */
   get freeBorrowed(): number {
     return Math.min(this.borrowed, Math.max(0, this.free));
   }
 
-  /** New work may go there as far as the lists say. */
+  /** Whether the target may take new work according to the target list and the
+   * drains. */
   get open(): boolean {
     return !this.leaving && !this.drained;
   }
--- a/packages/decisions/src/vm_state.ts
+++ b/packages/decisions/src/vm_state.ts
@@ -1,6 +1,5 @@
 /**
- * All that one VM's decisions remember: lists, slots, waiting and running
- * requests.
+ * State of one VM's decisions: lists, slots, waiting and running requests.
  *
  * @module
  */
@@ -16,7 +15,7 @@
 import type { RandomGenerator } from "pure-rand/types/RandomGenerator";
 import type { Drains, TargetEntry, VmEntry } from "./event.ts";
 import { GiveUpHeap } from "./give_up_heap.ts";
-import { dropEndedLoans } from "./lending.ts";
+import { dropExpiredLoans } from "./lending.ts";
 import type { Allotment, LinkAllotment, Plan } from "./plan.ts";
 import type { Policy } from "./policy.ts";
 import { allotLinks, distanceMs, linksFrom, type LinkState } from "./remote.ts";
@@ -25,13 +24,13 @@
 import { ServiceState } from "./service_state.ts";
 import { TargetState } from "./target_state.ts";
 
-/** A slot that stays taken for a moment after its attempt broke off. */
+/** A slot that stays occupied for a short time after its attempt was aborted. */
 interface Lingering {
   readonly target: TargetState;
   readonly until: number;
 }
 
-/** State of one VM, and how lists and plans change it. */
+/** State of one VM, and its updates by lists and plans. */
 export class VmState {
   readonly self: VmId;
   policy: Policy;
@@ -43,17 +42,18 @@
   readonly giveUps = new GiveUpHeap();
   readonly retryAfter: RetryAfter;
   links = new Map<RegionId, LinkState>();
-  /** Live VMs of this region but this one. */
+  /** Live VMs of this region, except this one. */
   neighbours: VmId[] = [];
   /** Live VMs of other regions. */
-  afar = new Map<RegionId, VmId[]>();
+  remote = new Map<RegionId, VmId[]>();
   plan: Plan | undefined;
   planEndsAt = Number.POSITIVE_INFINITY;
-  /** The plan ran out: its slots may be others' by now. */
+  /** The plan expired: its slots may have been reassigned. */
   expired = false;
-  /** A plan whose lowering is not complete. */
-  unconfirmed: number | undefined;
-  readonly lost = new Set<RegionId>();
+  /** Sequence of a plan not yet confirmed: more slots may still be in use than
+   * it allots. */
+  unconfirmedPlan: number | undefined;
+  readonly lostRegions = new Set<RegionId>();
   lingering: Lingering[] = [];
   #drains: Drains | undefined;
   #vms: readonly VmEntry[] = [];
@@ -78,16 +78,16 @@
   setVms(vms: readonly VmEntry[]): void {
     this.#vms = vms;
     this.neighbours = [];
-    this.afar = new Map();
-    const me = vms.find((entry) => entry.vm === this.self);
-    if (me !== undefined) {
-      this.region = me.region;
-      this.zone = me.zone;
+    this.remote = new Map();
+    const self = vms.find((entry) => entry.vm === this.self);
+    if (self !== undefined) {
+      this.region = self.region;
+      this.zone = self.zone;
     }
     for (const { vm, region, live } of this.#vms) {
       if (vm === this.self || !live) continue;
       if (region === this.region) this.neighbours.push(vm);
-      else this.afar.set(region, [...this.afar.get(region) ?? [], vm]);
+      else this.remote.set(region, [...this.remote.get(region) ?? [], vm]);
     }
     this.#setLinks();
   }
@@ -104,7 +104,7 @@
     for (const target of this.targets.values()) {
       if (!named.has(target.id)) target.leaving = true;
       else if (target.leaving && !isLeaving(entries, target.id)) {
-        if (target.gone) this.#revive(target);
+        if (target.gone) this.#resetInstance(target);
       }
       target.gone = !named.has(target.id);
     }
@@ -123,27 +123,27 @@
     this.expired = false;
     const isNew = plan.sequence !== this.plan?.sequence;
     this.plan = plan;
-    if (isNew) this.unconfirmed = plan.sequence;
+    if (isNew) this.unconfirmedPlan = plan.sequence;
     if (validMs <= 0) this.expire();
     else this.#applySlots();
     this.#setLinks();
   }
 
   setLost(region: RegionId, lost: boolean): void {
-    if (lost) this.lost.add(region);
-    else this.lost.delete(region);
+    if (lost) this.lostRegions.add(region);
+    else this.lostRegions.delete(region);
     this.#applySlots();
     this.#setLinks();
   }
 
-  /** The plan's time ran out without a renewal. */
+  /** Stops using a plan that expired without a renewal. */
   expire(): void {
     this.expired = true;
     for (const target of this.targets.values()) target.owned = 0;
     this.recountAll();
   }
 
-  /** Whether no more is held than the plan allots, loans to others included. */
+  /** Whether no more slots are in use than the plan allots, loans included. */
   get withinPlan(): boolean {
     for (const target of this.targets.values()) {
       if (target.inUse > target.held) return false;
@@ -151,7 +151,7 @@
     return true;
   }
 
-  /** Extra time of a target for its place. */
+  /** Extra time of a target due to its location, in ms. */
   extraMs(target: TargetState): number {
     return distanceMs(target, this, this.links);
   }
@@ -162,14 +162,14 @@
   }
 
   recountAll(): void {
-    for (const service of this.services.values()) service.recount();
+    for (const service of this.services.values()) service.recountHeld();
   }
 
-  dropLoans(now: number): void {
+  dropExpiredLoans(now: number): void {
     for (const target of this.targets.values()) {
       if (target.loans.length === 0) continue;
-      if (!dropEndedLoans(target, now)) continue;
-      this.services.get(target.service)!.recount();
+      if (!dropExpiredLoans(target, now)) continue;
+      this.services.get(target.service)!.recountHeld();
     }
   }
 
@@ -182,8 +182,8 @@
     return target;
   }
 
-  /** A target that was gone and is named again is a new life of it. */
-  #revive(target: TargetState): void {
+  /** A target that had left the list and is named again is a new instance. */
+  #resetInstance(target: TargetState): void {
     target.leaving = false;
     target.cold = true;
   }
@@ -198,7 +198,8 @@
     }
   }
 
-  /** Allotments in force: the plan's, or its fallback's for a lost region. */
+  /** Allotments in force: the plan's, or those of its fallback while a region
+   * is lost. */
   #allotments(): readonly Allotment[] {
     return this.#fallback()?.allotments ?? this.plan?.allotments ?? [];
   }
@@ -208,8 +209,8 @@
   }
 
   #fallback() {
-    if (this.lost.size !== 1) return undefined;
-    return this.plan?.fallbacks.find(({ lost }) => this.lost.has(lost));
+    if (this.lostRegions.size !== 1) return undefined;
+    return this.plan?.fallbacks.find(({ lost }) => this.lostRegions.has(lost));
   }
 
   #applySlots(): void {
