--- a/packages/daemon/src/http/attempt.ts
+++ b/packages/daemon/src/http/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt to get a request served by one target. It knows exactly whether
- * a byte of the request may have reached the network.
+ * One attempt to send a request to one target. It tracks exactly whether a byte
+ * of the request may have reached the network.
  *
  * @module
  */
@@ -8,10 +8,10 @@
 import type { Buffer } from "node:buffer";
 import type { Dispatcher } from "undici";
 import type { TargetId } from "@poplarthread/ids";
-import { type AnswerHead, readAnswerHead } from "./answer_head.ts";
+import { readResponseHead, type ResponseHead } from "./response_head.ts";
 import { NotSentError } from "../errors.ts";
 
-/** How an attempt ended; see the decisions' `AttemptOutcome`. */
+/** How an attempt ended; see `AttemptOutcome` of the decisions package. */
 export type AttemptEnd =
   | "answered"
   | "answered-error"
@@ -21,27 +21,27 @@
   | "failed-after-sent"
   | "cancelled";
 
-/** Who gets an attempt's answer. */
+/** Receives an attempt's events. */
 export interface AttemptOwner {
-  /** Right before the first byte is sent. False: it must not be sent. */
+  /** Called right before the first byte is sent. Returns false to prevent sending. */
   attemptMaySend(attempt: Attempt): boolean;
-  /** The header of the answer. False: nobody wants it, break the attempt off. */
-  attemptAnswers(
+  /** Called with the response headers. Returns false to cancel the attempt. */
+  attemptHeaders(
     attempt: Attempt,
-    answer: { status: number; head: AnswerHead },
+    response: { status: number; head: ResponseHead },
   ): boolean;
-  /** A piece of the answer. False: no more until `resume`. */
+  /** Called with a chunk of the response. Returns false to pause until `resume`. */
   attemptData(attempt: Attempt, chunk: Buffer): boolean;
-  /** Called once, last. */
+  /** Called exactly once, as the last event. */
   attemptEnded(attempt: Attempt, end: AttemptEnd, err?: Error): void;
 }
 
-/** Body of a target's refusal that is read at most before the connection is dropped. */
-const REFUSAL_BYTES = 65_536;
+/** A target's refusal with a longer body has its connection closed instead of read. */
+const MAX_REFUSAL_BODY_BYTES = 65_536;
 
 /**
- * Handles undici's events. It uses undici's raw handler methods: they give the
- * header lines as they came, and cost no object per event.
+ * Handles undici's events. It uses undici's raw handler methods, which pass the
+ * headers as received and allocate no object per event.
  */
 export class Attempt implements Dispatcher.DispatchHandler {
   readonly number: number;
@@ -54,7 +54,7 @@
   #abort: ((err?: Error) => void) | undefined;
   #resume: (() => void) | undefined;
   #status = 0;
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
   #refused = false;
   #refusalBytes = 0;
 
@@ -77,47 +77,51 @@
     return this.#ended;
   }
 
-  /** Whether the target says that it refused before running. */
+  /** Whether the target reported that it refused the request without running it. */
   get refusedNotRun(): boolean {
     return this.#refused;
   }
 
-  /** Whether the target says that it is leaving. */
+  /** Whether the target reported that it is leaving. */
   get targetLeaving(): boolean {
     return this.#head?.leaving ?? false;
   }
 
-  /** Breaks the attempt off. The owner hears of its end. */
+  /** Cancels the attempt. The owner is notified of its end. */
   cancel(): void {
     if (this.#ended || this.#cancelled) {
       return;
     }
     this.#cancelled = true;
     if (this.#abort !== undefined) {
-      this.#abort(new NotSentError("Cancelled"));
+      this.#abort(new NotSentError("The attempt was cancelled"));
       return;
     }
-    // It still waits for a connection inside the pool; `onConnect` drops it
-    // there. Its slot is free from now on, since nothing was or will be sent.
+    // It is still queued for a connection inside the pool; `onConnect` discards
+    // it there. Its slot is free now, since nothing was or will be sent.
     this.#end("cancelled");
   }
 
-  /** Lets the answer flow again. */
+  /** Resumes a paused response. */
   resume(): void {
     this.#resume?.();
   }
 
-  /** Called by undici right before it writes the request, and never otherwise. */
+  /** Called by undici right before it writes the request, and at no other time. */
   onConnect(abort: (err?: Error) => void): void {
     if (this.#cancelled || this.#sent) {
-      // The second case: a connection was reset with the request on it and
-      // undici would write the request again. Whether that is allowed is not
-      // for a connection pool to say, so the attempt ends instead.
-      throw new NotSentError("Not wanted any more");
+      // Already sent: the connection was reset with the request on it and undici
+      // wants to write the request again. The connection pool cannot know
+      // whether a retry is allowed, so the attempt ends instead.
+      throw new NotSentError(
+        "Cannot send the request: the attempt was cancelled or already sent",
+      );
     }
     if (!this.#owner.attemptMaySend(this)) {
       this.#cancelled = true;
-      throw new NotSentError("Not allowed any more");
+      throw new NotSentError(
+        "Cannot send the request: sending it is no longer allowed",
+      );
     }
     this.#sent = true;
     this.#abort = abort;
@@ -134,13 +138,13 @@
     }
     this.#resume = resume;
     this.#status = status;
-    const head = readAnswerHead(raw);
+    const head = readResponseHead(raw);
     this.#head = head;
     if (head.notRun) {
       this.#refused = true;
       return true;
     }
-    if (!this.#owner.attemptAnswers(this, { status, head })) {
+    if (!this.#owner.attemptHeaders(this, { status, head })) {
       this.cancel();
       return false;
     }
@@ -152,7 +156,7 @@
       return this.#owner.attemptData(this, chunk);
     }
     this.#refusalBytes += chunk.length;
-    if (this.#refusalBytes > REFUSAL_BYTES) {
+    if (this.#refusalBytes > MAX_REFUSAL_BODY_BYTES) {
       this.#abort?.();
     }
     return true;
--- a/packages/daemon/src/http/caller_listener.ts
+++ b/packages/daemon/src/http/caller_listener.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' listener: takes connections within limits, answers look-ups and
- * makes an exchange of each other request.
+ * The callers' listener: accepts connections within limits, answers look-ups
+ * and creates an exchange for every other request.
  *
  * @module
  */
@@ -25,64 +25,64 @@
 import { type HeadOptions, readHead } from "./request_head.ts";
 import type { RouteTable } from "./routes.ts";
 
-/** What is in force, as far as callers' requests need it. */
+/** The part of the configuration in force that callers' requests need. */
 export interface RoutingView {
   readonly revision: number;
   readonly routes: RouteTable;
 }
 
-/** Construction of the listener. */
+/** Options of {@link CallerListener}. */
 export interface CallerListenerOptions {
   readonly settings: Settings;
-  /** First part of request ids; unique to this life of the daemon. */
+  /** Prefix of request ids; unique to this run of the daemon. */
   readonly idPrefix: string;
   readonly lookups: Lookups;
   readonly metrics: Metrics;
   readonly services: ExchangeServices;
-  /** Undefined while nothing is in force. */
+  /** Returns undefined while no configuration is in force. */
   readonly routing: () => RoutingView | undefined;
-  /** Called once a tick, after deadlines. */
+  /** Called once per tick, after expired deadlines are handled. */
   readonly onTick: (now: number) => void;
 }
 
-/** What the listener is told. */
+/** Messages to the listener. */
 export type CallerListenerMessage =
   | { readonly kind: "tick" }
-  /** The same while nothing is in flight. */
+  /** A tick that is also sent while no request is in flight. */
   | { readonly kind: "idle-tick" }
-  /** Looks for callers that have stopped sending. */
+  /** Checks for callers that have stopped sending their body. */
   | { readonly kind: "sweep" }
-  /** Each answer ends its connection from now on. */
+  /** From now on, every response closes its keep-alive connection. */
   | { readonly kind: "end-kept" }
-  /** Takes no new connections; answers what it has and closes. */
+  /** Stops accepting connections; answers the requests in flight, then closes. */
   | { readonly kind: "drain" };
 
-/** How often slow senders are looked for: a tenth of their shortest allowance. */
-const SWEEP_MS = 500;
-/** Decisions that wait for time without a request, as loans that run out, bear this delay. */
-const IDLE_TICK_MS = 100;
-/** Idle connections are closed after this long; undici callers keep them for 4 s. */
+/** Interval of the check for slow senders: a tenth of the shortest body idle time-out. */
+const SWEEP_INTERVAL_MS = 500;
+/** Time-driven decisions that need no request, such as expiring loans, may be this late. */
+const IDLE_TICK_INTERVAL_MS = 100;
+/** Idle connections are closed after this; undici clients keep theirs for 4 s. */
 const KEEP_ALIVE_MS = 5_000;
-const RETRY_NOT_READY_MS = 1_000;
+const NOT_READY_RETRY_AFTER_MS = 1_000;
 
-/** An answer that knows its exchange, so that one handler serves all. */
+/** A response with a reference to its exchange, so that all share one close handler. */
 class CallerResponse extends ServerResponse<IncomingMessage> {
   exchange: Exchange | undefined;
 }
 
 type CallerServer = Server<typeof IncomingMessage, typeof CallerResponse>;
 
-/** Owns the callers' connections. */
+/** Accepts and owns callers' connections. */
 export class CallerListener extends Task<CallerListenerMessage> {
   readonly #options: CallerListenerOptions;
   readonly #headOptions: HeadOptions;
   readonly #receiving = new Set<Exchange>();
   #server: CallerServer | undefined;
-  #open = 0;
-  #requests = 0;
+  #openRequests = 0;
+  #requestCount = 0;
   #ticking = false;
   #draining = false;
-  #whenEmpty: (() => void)[] = [];
+  #idleWaiters: (() => void)[] = [];
 
   constructor(options: CallerListenerOptions) {
     super("caller-listener");
@@ -93,33 +93,33 @@
     };
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final response. */
   get inFlight(): number {
-    return this.#open;
+    return this.#openRequests;
   }
 
-  /** Port that it listens on. */
+  /** Port that it listens on; 0 while it does not listen. */
   get port(): number {
     const address = this.#server?.address();
     return typeof address === "object" && address !== null ? address.port : 0;
   }
 
-  /** Settles when no request is without its final answer. */
+  /** Resolves when every request has its final response. */
   empty(): Promise<void> {
     return new Promise((resolve) => {
-      if (this.#open === 0) {
+      if (this.#openRequests === 0) {
         resolve();
         return;
       }
-      this.#whenEmpty.push(resolve);
+      this.#idleWaiters.push(resolve);
     });
   }
 
-  /** To be called when an exchange has given its final answer. */
+  /** Must be called when an exchange has sent its final response. */
   exchangeEnded(): void {
-    this.#open -= 1;
-    if (this.#open === 0) {
-      this.#whenEmpty.splice(0).forEach((wake) => wake());
+    this.#openRequests -= 1;
+    if (this.#openRequests === 0) {
+      this.#idleWaiters.splice(0).forEach((wake) => wake());
     }
   }
 
@@ -130,8 +130,8 @@
     const { host, port } = this.#options.settings.listen.caller;
     await listen(server, { host, port }, (err) => this.fail(err));
     this.#ticking = false;
-    this.sendEvery(IDLE_TICK_MS, { kind: "idle-tick" });
-    this.sendEvery(SWEEP_MS, { kind: "sweep" });
+    this.sendEvery(IDLE_TICK_INTERVAL_MS, { kind: "idle-tick" });
+    this.sendEvery(SWEEP_INTERVAL_MS, { kind: "sweep" });
   }
 
   protected override receive(message: CallerListenerMessage): void {
@@ -169,16 +169,16 @@
     });
   }
 
-  /** Ticks on while requests are in flight; waking up for none costs more than all else. */
+  /** Ticks stop while no request is in flight, since idle wake-ups would dominate the cost. */
   #tick(): void {
     const now = performance.now();
     this.#options.services.wheel.advance(now);
     this.#options.onTick(now);
-    this.#tickOn();
+    this.#scheduleTick();
   }
 
-  #tickOn(): void {
-    if (this.#open > 0 && !this.#ticking) {
+  #scheduleTick(): void {
+    if (this.#openRequests > 0 && !this.#ticking) {
       this.#ticking = true;
       this.sendAfter(TICK_MS, { kind: "tick" });
     }
@@ -190,7 +190,7 @@
       ServerResponse: CallerResponse,
       maxHeaderSize: limits.headerBytes,
       headersTimeout: limits.headerTimeoutMs,
-      // Bodies are bounded by idle time and by the deadline instead.
+      // Bodies are limited by the body idle time-out and the deadline instead.
       requestTimeout: 0,
       connectionsCheckingInterval: Math.min(1_000, limits.headerTimeoutMs),
       keepAliveTimeout: KEEP_ALIVE_MS,
@@ -199,7 +199,7 @@
       noDelay: true,
     }, (req, res) => this.#serve(req, res));
     server.maxConnections = limits.connections;
-    server.on("drop", () => this.#refusedInput("connections"));
+    server.on("drop", () => this.#countRefusedInput("connections"));
     server.on(
       "clientError",
       (err, socket) => this.#clientError(err, socket as Socket),
@@ -221,7 +221,7 @@
       this.#lookUp(res, query.get("zone") ?? undefined);
       return;
     }
-    this.#steer(req, res);
+    this.#startExchange(req, res);
   }
 
   #lookUp(res: CallerResponse, zone: string | undefined): void {
@@ -229,9 +229,9 @@
     if (page === undefined) {
       this.#refuse(res, {
         reason: "not-ready",
-        message: "no configuration is in force here yet",
+        message: "no configuration is in force on this VM yet",
         outcome: "not-run",
-        retryAfterMs: RETRY_NOT_READY_MS,
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
       });
       return;
     }
@@ -240,31 +240,31 @@
     res.end(page.body, "latin1");
   }
 
-  #steer(req: IncomingMessage, res: CallerResponse): void {
+  #startExchange(req: IncomingMessage, res: CallerResponse): void {
     const { routing, services } = this.#options;
     const head = readHead(req, this.#headOptions);
     if (head.kind === "bad-request") {
-      this.#refusedInput("bad-request");
+      this.#countRefusedInput("bad-request");
       this.#refuse(res, {
         reason: head.status === 508 ? "loop" : "bad-request",
         message: head.reason,
         outcome: "not-run",
-        closes: true,
+        closesConnection: true,
       });
       return;
     }
     const outcome = "not-run";
-    // Without a route nobody can tell what an earlier sending of a key came to.
+    // Without a route, the outcome of an earlier request with the key cannot be looked up.
     const earlierUnknown = head.key !== undefined;
     const view = routing();
     if (view === undefined) {
       this.#refuse(res, {
         reason: "not-ready",
-        message: "no configuration is in force here yet",
+        message: "no configuration is in force on this VM yet",
         outcome,
         earlierUnknown,
-        retryAfterMs: RETRY_NOT_READY_MS,
-        closes: true,
+        retryAfterMs: NOT_READY_RETRY_AFTER_MS,
+        closesConnection: true,
       });
       return;
     }
@@ -275,17 +275,17 @@
         reason: isPath ? "no-route" : "bad-request",
         message: match.kind === "ambiguous"
           ? match.reason
-          : "no route takes this method and path",
+          : "no route matches this method and path",
         outcome,
         earlierUnknown,
-        closes: head.chunked || head.contentLength > 0,
+        closesConnection: head.chunked || head.contentLength > 0,
       });
       return;
     }
-    this.#requests += 1;
+    this.#requestCount += 1;
     const exchange = new Exchange(services, {
       id: `${this.#options.idPrefix}-${
-        this.#requests.toString(36)
+        this.#requestCount.toString(36)
       }` as RequestId,
       req,
       res,
@@ -294,8 +294,8 @@
       revision: view.revision,
       now: performance.now(),
     });
-    this.#open += 1;
-    this.#tickOn();
+    this.#openRequests += 1;
+    this.#scheduleTick();
     res.exchange = exchange;
     res.on("close", onClose);
     exchange.start();
@@ -317,22 +317,22 @@
       }
       if (now - exchange.lastByteAt > bodyIdleTimeoutMs) {
         this.#receiving.delete(exchange);
-        this.#refusedInput("slow-sender");
-        exchange.senderIsSlow();
+        this.#countRefusedInput("slow-sender");
+        exchange.handleSlowSender();
       }
     }
   }
 
-  #refusedInput(reason: string): void {
+  #countRefusedInput(reason: string): void {
     this.#options.metrics.refusedInput.inc({ listener: "caller", reason });
   }
 
-  /** Input that never became a request: too large, too slow, or not HTTP. */
+  /** Handles input that did not become a request: too large, too slow, or not HTTP. */
   #clientError(err: Error & { code?: string }, socket: Socket): void {
-    const [status, reason] = describeInput(err.code);
-    this.#refusedInput(reason);
+    const [status, reason] = describeInputError(err.code);
+    this.#countRefusedInput(reason);
     if (!socket.writable || socket.bytesWritten > 0) {
-      // Part of an answer may be out already; a second one must not follow it.
+      // Part of a response may already be sent; a second one must not follow it.
       socket.destroy();
       return;
     }
@@ -346,7 +346,9 @@
   this.exchange?.callerClosed();
 }
 
-function describeInput(code: string | undefined): readonly [string, string] {
+function describeInputError(
+  code: string | undefined,
+): readonly [string, string] {
   switch (code) {
     case "HPE_HEADER_OVERFLOW":
       return ["431 Request Header Fields Too Large", "header-too-large"];
--- a/packages/daemon/src/http/caller_path_test.ts
+++ b/packages/daemon/src/http/caller_path_test.ts
@@ -31,12 +31,12 @@
   res.end(`${req.url} ${await text(req)}`);
 };
 
-test("lines for one connection stay on it, and loops are stopped", async () => {
-  // A caller, or a target, names headers that concern its own connection only.
-  // Passed on they would confuse the other side, or smuggle a request past it.
-  let seen: IncomingMessage | undefined;
+test("hop-by-hop headers are not forwarded, and proxy loops are refused", async () => {
+  // A caller or target sends headers that apply only to its own connection. If
+  // forwarded, they could confuse the other side or allow request smuggling.
+  let received: IncomingMessage | undefined;
   const { sendRaw, port } = await start([(req, res) => {
-    seen = req;
+    received = req;
     res.writeHead(200, {
       "connection": "x-internal",
       "x-internal": "1",
@@ -44,13 +44,14 @@
       "x-kept": "1",
     }).end("ok");
   }]);
-  const answer = await sendRaw(
+  const response = await sendRaw(
     `GET /a?b=c HTTP/1.1\r\nHost: shop.example\r\nConnection: close, X-Secret\r\n` +
       "X-Secret: 1\r\nTE: trailers\r\nProxy-Authorization: x\r\nX-Kept: 1\r\n" +
       "Poplarthread-Deadline-Ms: 900\r\n\r\n",
   );
-  expect(seen!.url).toBe("/a?b=c");
-  const { "poplarthread-deadline-ms": deadline, ...headers } = seen!.headers;
+  expect(received!.url).toBe("/a?b=c");
+  const { "poplarthread-deadline-ms": deadline, ...headers } =
+    received!.headers;
   expect(Number(deadline)).toBeGreaterThan(0);
   expect(Number(deadline)).toBeLessThanOrEqual(900);
   expect(headers).toEqual({
@@ -62,17 +63,17 @@
     "poplarthread-hops": "1",
     "poplarthread-request-id": "test-1",
   });
-  expect(answer).toContain("x-kept: 1");
-  expect(answer).not.toMatch(/x-internal|poplarthread-outcome/);
+  expect(response).toContain("x-kept: 1");
+  expect(response).not.toMatch(/x-internal|poplarthread-outcome/);
   const again = await fetch(`http://127.0.0.1:${port}/`, {
     headers: { via: "1.1 vm-2, 1.1 vm-1" },
   });
   expect(again.status).toBe(508);
 });
 
-test("an answer that ends early never looks whole", async () => {
-  // The target dies in the middle of its answer. Were the connection ended in
-  // good order, the caller would take half a playlist for the whole.
+test("a truncated response never looks complete", async () => {
+  // The target crashes in the middle of its response. If the connection were
+  // closed cleanly, the caller would take the partial response as complete.
   const { send, ends } = await start([(_, res) => {
     res.writeHead(200);
     res.write("half");
@@ -82,9 +83,9 @@
   expect(ends).toEqual(["broken"]);
 });
 
-test("an answer after the deadline goes to nobody", async () => {
-  // The target answers after its caller was told that time is up. The same
-  // connection then carries the next request, which must get its own answer.
+test("a response after the deadline is discarded", async () => {
+  // The target responds after its caller got a deadline error. The next request
+  // on the same connection must get its own response.
   let release: () => void = () => undefined;
   const { port } = await start([(req, res) => {
     if (req.url === "/slow") {
@@ -95,7 +96,7 @@
     res.end("second");
   }]);
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-  const ask = (url: string) =>
+  const fetchText = (url: string) =>
     new Promise<string>((resolve, reject) => {
       const headers = { "poplarthread-deadline-ms": "200" };
       const options = { host: "127.0.0.1", port, path: url, agent, headers };
@@ -105,59 +106,60 @@
       )
         .on("error", reject);
     });
-  expect(await ask("/slow")).toMatch(/^504 .*"outcome":"unknown"/);
-  expect(await ask("/next")).toBe("200 second");
+  expect(await fetchText("/slow")).toMatch(/^504 .*"outcome":"unknown"/);
+  expect(await fetchText("/next")).toBe("200 second");
   agent.destroy();
 });
 
-test("an order is not sent again when its connection drops", async () => {
-  // The target takes an order, and its connection drops before the answer. It
-  // may have booked the slot; sent again, the bank would pay twice.
+test("an at-most-once request is not retried when its connection breaks", async () => {
+  // The target receives an order, and its connection breaks before the response.
+  // The order may have run, so a retry could run it twice.
   let orders = 0;
   const drop: RequestListener = (req) => {
     orders += 1;
     req.socket.destroy();
   };
   const { send } = await start([drop, drop]);
-  const answer = await send("/orders", { method: "POST", body: "one slot" });
-  expect(answer.status).toBe(502);
-  expect(answer.headers.get("poplarthread-outcome")).toBe("unknown");
+  const response = await send("/orders", { method: "POST", body: "one slot" });
+  expect(response.status).toBe(502);
+  expect(response.headers.get("poplarthread-outcome")).toBe("unknown");
   expect(orders).toBe(1);
 });
 
-test("a page is tried at another target when its connection drops", async () => {
-  // One target of two drops whatever it is sent. Its callers would see errors
-  // that the other target could have spared them.
+test("an idempotent request is retried at another target when its connection breaks", async () => {
+  // One of two targets breaks every connection. Without a retry at the other one,
+  // callers would get avoidable errors.
   const drop: RequestListener = (req) => req.socket.destroy();
   const { send } = await start([drop, echo]);
   for (let n = 0; n < 6; n++) {
-    const answer = await send("/page", { method: "POST", body: `body ${n}` });
-    expect(answer).toMatchObject({ status: 200, body: `/page body ${n}` });
+    const response = await send("/page", { method: "POST", body: `body ${n}` });
+    expect(response).toMatchObject({ status: 200, body: `/page body ${n}` });
   }
 });
 
-test("a request on which two targets broke off reaches no third", async () => {
-  // One playlist crashes each target that builds it. Tried again and again, a
-  // single request would take down one target after the other.
-  let broken = 0;
+test("a request that broke connections to two targets is not sent to a third", async () => {
+  // A request crashes every target that handles it. With unlimited retries, it
+  // would take down one target after the other.
+  let attempts = 0;
   const crash: RequestListener = (req) => {
-    broken += 1;
+    attempts += 1;
     req.socket.destroy();
   };
   const { send } = await start([crash, crash, crash, crash]);
   expect((await send("/playlist")).status).toBe(502);
-  expect(broken).toBe(2);
-  // Longer than failures on a target are gathered; a busy machine only waits longer.
+  expect(attempts).toBe(2);
+  // Longer than the window in which failures of a target are collected; on a busy
+  // machine the wait only gets longer.
   await sleep(200);
   const again = await send("/playlist");
   expect(again.headers.get("poplarthread-outcome")).toBe("not-run");
   expect(again.body).toContain("held-back");
-  expect(broken).toBe(2);
+  expect(attempts).toBe(2);
 });
 
-test("a caller that stops sending is cut, and reaches no target", async () => {
-  // A caller announces a body and never sends it, a thousand times over. Each
-  // would hold a slot of a target that has three.
+test("a caller that stops sending its body gets 408, and the request reaches no target", async () => {
+  // A caller declares bodies that it never sends, in many requests. Each of them
+  // would hold one of the target's few slots.
   let requests = 0;
   const { sendRaw, ends } = await start([() => requests += 1], {
     limits: { bodyIdleTimeoutMs: 50 },
@@ -169,15 +171,15 @@
   expect([requests, ends]).toEqual([0, ["slow-sender"]]);
 });
 
-test("large bodies stream both ways within their limit", async () => {
-  // A body larger than memory should hold per caller, and one that is larger
-  // than allowed and hides its size.
+test("large bodies are streamed in both directions up to the limit", async () => {
+  // One body is too large to buffer for each caller; another exceeds the limit
+  // without declaring its length.
   const { send, sendRaw, ends } = await start([(req, res) => {
     req.pipe(res);
   }], { limits: { bodyBytes: 3_000_000 } });
   const body = "0123456789".repeat(250_000);
-  const whole = await send("/copy", { method: "POST", body });
-  expect(whole.body === body).toBe(true);
+  const response = await send("/copy", { method: "POST", body });
+  expect(response.body === body).toBe(true);
   const chunk = `10000\r\n${"x".repeat(65_536)}\r\n`;
   const raw = await sendRaw(
     "POST /copy HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -187,9 +189,9 @@
   expect(ends.filter((end) => end === "served")).toHaveLength(1);
 });
 
-test("a planned stop answers what is in flight and then ends", async () => {
-  // An operator stops a VM while orders are at work. Cut off, their callers
-  // would not know whether they bought anything.
+test("a planned stop completes requests in flight before it ends", async () => {
+  // An operator stops a VM while orders are in flight. If they were aborted,
+  // callers would not know whether their orders had run.
   let release: () => void = () => undefined;
   const { send, listener } = await start([(_, res) => {
     release = () => res.end("done");
@@ -203,9 +205,9 @@
   await listener.empty();
 });
 
-test("nothing that a caller sends takes the listener down", async () => {
-  // Anyone can connect to the callers' port, also with a client that is broken
-  // or means harm.
+test("arbitrary input from callers does not stop the listener", async () => {
+  // Anyone can connect to the callers' port, including broken or malicious
+  // clients.
   const { sendRaw, send } = await start([echo], {
     limits: { headerTimeoutMs: 200, bodyIdleTimeoutMs: 200 },
   });
--- a/packages/daemon/src/http/exchange.ts
+++ b/packages/daemon/src/http/exchange.ts
@@ -1,8 +1,8 @@
 /**
- * One request of a caller, from its header to its final answer.
+ * One request of a caller, from its headers to its final response.
  *
  * An exchange ends exactly once for its caller. Attempts may outlive it: they
- * are broken off, and what still comes from them goes to nobody.
+ * are cancelled, and whatever they still receive is discarded.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 import type { Dispatcher } from "undici";
 import type { RefuseReason, SteeringEvent } from "@poplarthread/decisions";
 import type { RequestId, TargetId } from "@poplarthread/ids";
-import type { AnswerHead } from "./answer_head.ts";
-import { AnswerCopy } from "./answer_copy.ts";
+import type { ResponseHead } from "./response_head.ts";
+import { ResponseCopy } from "./response_copy.ts";
 import { Attempt, type AttemptEnd, type AttemptOwner } from "./attempt.ts";
 import type { DeadlineWheel, Expiring } from "./deadline_wheel.ts";
 import { type KeyedClaim, type KeyedClaims, keyScope } from "./keyed_claims.ts";
@@ -29,7 +29,7 @@
 import type { RequestHead } from "./request_head.ts";
 import type { CompiledRoute } from "./routes.ts";
 
-/** Where attempts go. */
+/** Looks up the connection pool of a target. */
 export interface TargetDispatchers {
   get(id: TargetId): Dispatcher | undefined;
 }
@@ -42,7 +42,7 @@
   | "broken"
   | RefusalReason;
 
-/** What an exchange works with; one object for all exchanges of a VM. */
+/** Dependencies of exchanges; all exchanges of a VM share one object. */
 export interface ExchangeServices {
   readonly limits: {
     readonly bodyBytes: number;
@@ -53,20 +53,20 @@
   readonly claims: KeyedClaims;
   readonly watch: AttemptWatch;
   steer(event: SteeringEvent, exchange: Exchange): void;
-  /** Called once for each exchange, when its caller has its final answer. */
+  /** Called once for each exchange, when its caller has its final response. */
   ended(exchange: Exchange, end: ExchangeEnd): void;
-  /** Called once nothing of the exchange is left, also no attempt. */
+  /** Called once for each exchange, when it and all its attempts have ended. */
   settled(exchange: Exchange): void;
 }
 
-/** Learns from attempts which requests crash targets. */
+/** Detects from attempts which requests crash targets. */
 export interface AttemptWatch {
-  /** Until when the request is held back, in milliseconds; 0 where it may run. */
+  /** How long the request is held back, in milliseconds; 0 if it may run. */
   heldBackFor(exchange: Exchange): number;
   attemptEnded(exchange: Exchange, attempt: Attempt, end: AttemptEnd): void;
 }
 
-/** A request as the listener took it in. */
+/** A request as the listener received it. */
 export interface ExchangeOptions {
   readonly id: RequestId;
   readonly req: IncomingMessage;
@@ -82,29 +82,29 @@
   | "claiming"
   | "steered"
   | "answering"
-  /** The caller is gone, but what was sent for it has to come to its end. */
+  /** The caller has disconnected, but its sent attempt has to complete. */
   | "detached"
   | "done";
 
-/** Up to this size, copying an answer costs less than a second write. */
-const ONE_WRITE_BYTES = 4_096;
+/** Up to this size, copying a chunk costs less than a second write. */
+const MAX_SINGLE_WRITE_BYTES = 4_096;
 
 /**
- * A request on which two targets broke off may be what crashes them; a third
- * target would be next before anybody could have told. Sent again by its
- * caller, it is held back if they did crash.
+ * A request whose connections to two targets broke may have crashed them, and a
+ * retry could crash a third before the crashes are detected. If they did crash,
+ * the request is held back when its caller sends it again.
  */
-const MOST_BROKEN = 2;
+const MAX_BROKEN_ATTEMPTS = 2;
 
 const REFUSE_MESSAGES: Readonly<Record<RefuseReason, string>> = {
-  "overload": "more requests wait than can be served in time",
-  "waited-too-long": "no target became free in time",
-  "no-target": "no target of the service is in use",
-  "unknown-route": "the service or class is not in force",
-  "attempts-failed": "no target gave an answer",
+  "overload": "more requests are queued than can be served in time",
+  "waited-too-long": "no target had a free slot in time",
+  "no-target": "the service has no target in use",
+  "unknown-route": "the service or class is not in the configuration in force",
+  "attempts-failed": "no attempt got a response from a target",
 };
 
-/** See the module's comment. */
+/** Handles one request of a caller. */
 export class Exchange implements Expiring, AttemptOwner, BodyListener {
   readonly id: RequestId;
   readonly req: IncomingMessage;
@@ -120,17 +120,18 @@
   #body: RequestBody | undefined;
   #claim: KeyedClaim | undefined;
   #claimDispatched = false;
-  /** Attempts whose connection broke after they were sent. */
-  #broken = 0;
+  /** Number of attempts whose connection broke after they were sent. */
+  #brokenAttempts = 0;
   #winner: Attempt | undefined;
-  #copy: AnswerCopy | undefined;
-  /** A target may have run the request. */
+  #responseCopy: ResponseCopy | undefined;
+  /** Whether a target may have run the request. */
   #mayHaveRun = false;
-  #arrived = false;
+  /** Whether the decisions still track this request. */
+  #inSteering = false;
   #wasSteered = false;
-  #draining = false;
-  /** Bytes of the answer that are still to come; -1 where unknown. */
-  #left = -1;
+  #awaitingDrain = false;
+  /** Bytes of the response body still to come; negative without `content-length`. */
+  #remainingBytes = -1;
   #lastChunk: Buffer | undefined;
 
   constructor(services: ExchangeServices, options: ExchangeOptions) {
@@ -142,38 +143,38 @@
     this.route = options.route;
     this.revision = options.revision;
     this.startedAt = options.now;
-    const most = options.route.route.deadlineMs;
+    const maxMs = options.route.route.deadlineMs;
     this.expiresAt = options.now +
-      Math.min(options.head.deadlineMs ?? most, most);
+      Math.min(options.head.deadlineMs ?? maxMs, maxMs);
   }
 
-  /** A request that may run at most once, and that its caller may send again. */
+  /** Whether the request may run at most once and carries an idempotency key. */
   get keyed(): boolean {
     return this.head.key !== undefined &&
       this.route.route.repeat === "at-most-once";
   }
 
-  /** Whether the decisions were asked about it. */
+  /** Whether the request was passed to the decisions. */
   get wasSteered(): boolean {
     return this.#wasSteered;
   }
 
-  /** The whole body; undefined where it is streamed. */
+  /** The complete body; null without one, undefined if it is streamed. */
   get wholeBody(): Buffer | null | undefined {
     return this.#body === undefined ? null : this.#body.buffered;
   }
 
-  /** Whether the caller still sends its body. */
+  /** Whether the body is still being received. */
   get receiving(): boolean {
     return this.#body !== undefined && !this.#body.complete;
   }
 
-  /** When the caller last sent something of its body. */
+  /** Time at which the last bytes of the body arrived. */
   get lastByteAt(): number {
     return this.#body?.lastByteAt ?? this.startedAt;
   }
 
-  /** Takes the request in. */
+  /** Starts to receive the request. */
   start(): void {
     this.#services.wheel.add(this);
     if (!RequestBody.isPresent(this.head)) {
@@ -204,30 +205,30 @@
       this.#startClaim();
       return;
     }
-    this.#arrive();
+    this.#enterSteering();
   }
 
   bodyTooLarge(): void {
     this.refuse("too-large", {
       message:
-        `the body has more than ${this.#services.limits.bodyBytes} bytes`,
-      closes: true,
+        `the body is larger than the limit of ${this.#services.limits.bodyBytes} bytes`,
+      closesConnection: true,
     });
   }
 
-  /** The caller sends nothing of its body any more. */
-  senderIsSlow(): void {
+  /** Ends the exchange because the caller has stopped sending its body. */
+  handleSlowSender(): void {
     if (this.#phase === "done" || this.#phase === "answering") {
       this.req.socket.destroy();
       return;
     }
     this.refuse("slow-sender", {
       message: "the body did not arrive in time",
-      closes: true,
+      closesConnection: true,
     });
   }
 
-  /** A decision: send it to a target. */
+  /** Carries out a decision: sends the request to a target. */
   dispatch(target: TargetId, number: number): void {
     const attempt = new Attempt(this, {
       number,
@@ -238,23 +239,30 @@
     if (!this.#mayDispatch()) {
       attempt.cancel();
       this.refuse("attempts-failed", {
-        message: "it must not be sent again",
+        message: "the request must not be sent again",
       });
       return;
     }
     const pool = this.#services.targets.get(target);
     if (pool === undefined) {
-      attempt.onError(new NotSentError("The target is not known any more"));
+      attempt.onError(
+        new NotSentError(
+          "Cannot send the request: the target is no longer known",
+        ),
+      );
       return;
     }
-    const left = Math.max(1, Math.ceil(this.expiresAt - attempt.startedAt));
+    const remainingMs = Math.max(
+      1,
+      Math.ceil(this.expiresAt - attempt.startedAt),
+    );
     pool.dispatch({
       path: this.req.url!,
       method: this.req.method as Dispatcher.HttpMethod,
       headers: [
-        ...this.head.lines,
+        ...this.head.rawHeaders,
         DEADLINE_HEADER,
-        String(left),
+        String(remainingMs),
         REQUEST_ID_HEADER,
         this.id,
       ],
@@ -262,25 +270,25 @@
     }, attempt);
   }
 
-  /** A decision: break an attempt off. */
+  /** Carries out a decision: cancels an attempt. */
   cancel(number: number): void {
     this.#attempts.find((one) => one.number === number)?.cancel();
   }
 
-  /** A decision: no more attempts. */
+  /** Carries out a decision: refuses the request, with no more attempts. */
   steeringRefuses(reason: RefuseReason, retryAfterMs: number): void {
     if (this.#phase === "answering") {
-      // The decisions were restarted; an answer on its way is none of theirs.
+      // The decisions were restarted and do not know of the response in progress.
       return;
     }
-    this.#arrived = false;
+    this.#inSteering = false;
     this.refuse(reason, { message: REFUSE_MESSAGES[reason], retryAfterMs });
   }
 
-  /** Gives the caller its final answer, if it hasn't one. */
+  /** Sends the caller a refusal as its final response, unless it has one already. */
   refuse(
     reason: RefusalReason,
-    details: Pick<Refusal, "message" | "retryAfterMs" | "closes"> & {
+    details: Pick<Refusal, "message" | "retryAfterMs" | "closesConnection"> & {
       outcome?: RequestOutcome;
       earlierUnknown?: boolean;
     },
@@ -289,7 +297,7 @@
       return;
     }
     if (this.#phase === "answering") {
-      this.#breakOff();
+      this.#abortResponse();
       return;
     }
     if (this.#phase !== "detached") {
@@ -297,31 +305,31 @@
         reason,
         outcome: this.#mayHaveRun ? "unknown" : "not-run",
         earlierUnknown: this.keyed && this.#claim === undefined,
-        closes: this.receiving,
+        closesConnection: this.receiving,
         ...details,
       }, this.id);
     }
     this.#finish(reason);
   }
 
-  /** The caller's connection is closed. */
+  /** Called when the caller's connection has closed. */
   callerClosed(): void {
     if (this.#phase === "done" || this.#phase === "detached") {
       return;
     }
     if (this.#claim !== undefined && this.#mayHaveRun) {
-      // Breaking it off now would leave nobody knowing whether a booking was
-      // made; its caller will send it again and gets the answer kept for it.
+      // Cancelling now would leave it unknown whether the operation was carried
+      // out. The caller can repeat the request and gets the stored response.
       this.#phase = "detached";
       return;
     }
     this.#finish("caller-gone");
   }
 
-  /** The deadline has passed. */
+  /** Called when the deadline has passed. */
   expire(): void {
     this.refuse("deadline", {
-      message: "the deadline passed before there was an answer",
+      message: "the deadline passed before a response arrived",
       ...(this.#mayHaveRun ? {} : { retryAfterMs: 1_000 }),
     });
   }
@@ -339,9 +347,9 @@
     return true;
   }
 
-  attemptAnswers(
+  attemptHeaders(
     attempt: Attempt,
-    { status, head }: { status: number; head: AnswerHead },
+    { status, head }: { status: number; head: ResponseHead },
   ): boolean {
     if (
       this.#winner !== undefined ||
@@ -355,15 +363,15 @@
       request: this.id,
       attempt: attempt.number,
     });
-    this.#left = head.contentLength;
+    this.#remainingBytes = head.contentLength;
     if (this.#claim !== undefined) {
       const limit = this.#services.limits.storedAnswerBytes;
-      this.#copy = new AnswerCopy(status, head.lines, limit);
+      this.#responseCopy = new ResponseCopy(status, head.rawHeaders, limit);
     }
     if (this.#phase === "steered") {
       this.#phase = "answering";
-      head.lines.push(REQUEST_ID_HEADER, this.id);
-      this.#res.writeHead(status, head.lines);
+      head.rawHeaders.push(REQUEST_ID_HEADER, this.id);
+      this.#res.writeHead(status, head.rawHeaders);
     }
     return true;
   }
@@ -372,23 +380,23 @@
     if (attempt !== this.#winner) {
       return true;
     }
-    this.#copy?.add(chunk);
+    this.#responseCopy?.add(chunk);
     if (this.#phase !== "answering") {
       return true;
     }
-    this.#left -= chunk.length;
-    if (this.#left === 0) {
-      // The end is known to follow at once: one write instead of two.
+    this.#remainingBytes -= chunk.length;
+    if (this.#remainingBytes === 0) {
+      // The end follows immediately, so the chunk is sent with it in one write.
       this.#lastChunk = chunk;
       return true;
     }
     if (this.#res.write(chunk)) {
       return true;
     }
-    if (!this.#draining) {
-      this.#draining = true;
+    if (!this.#awaitingDrain) {
+      this.#awaitingDrain = true;
       this.#res.once("drain", () => {
-        this.#draining = false;
+        this.#awaitingDrain = false;
         attempt.resume();
       });
     }
@@ -397,7 +405,7 @@
 
   attemptEnded(attempt: Attempt, end: AttemptEnd): void {
     this.#services.watch.attemptEnded(this, attempt, end);
-    this.#broken += end === "failed-after-sent" ? 1 : 0;
+    this.#brokenAttempts += end === "failed-after-sent" ? 1 : 0;
     if (attempt.sent && (end === "refused-not-run" || end === "leaving")) {
       this.#mayHaveRun = this.#attempts.some((one) =>
         one !== attempt && one.sent && !one.refusedNotRun
@@ -412,16 +420,16 @@
       attempt: attempt.number,
       outcome: end,
     });
-    this.#settleIfOver();
+    this.#settleIfDone();
   }
 
   #steer(event: SteeringEvent): void {
     this.#services.steer(event, this);
   }
 
-  #arrive(): void {
+  #enterSteering(): void {
     this.#phase = "steered";
-    this.#arrived = true;
+    this.#inSteering = true;
     this.#wasSteered = true;
     const { route } = this.route;
     this.#steer({
@@ -437,56 +445,56 @@
 
   #startClaim(): void {
     this.#phase = "claiming";
-    const whole = this.wholeBody;
+    const body = this.wholeBody;
     this.#services.claims.claim({
       scope: keyScope(this.head.caller),
       key: this.head.key!,
       method: this.req.method!,
       path: this.req.url!,
-      body: whole === undefined
-        ? `stream of ${this.head.contentLength}`
-        : whole,
+      body: body === undefined ? `stream of ${this.head.contentLength}` : body,
       timeLeftMs: Math.max(1, this.expiresAt - performance.now()),
-    }).then((answer) => {
-      switch (answer.kind) {
+    }).then((result) => {
+      switch (result.kind) {
         case "granted":
-          this.#takeClaim(answer.claim);
+          this.#acceptClaim(result.claim);
           return;
         case "replay":
-          this.#replay(answer.status, answer.lines, answer.body);
+          this.#replay(result.status, result.rawHeaders, result.body);
           return;
         case "refused":
-          this.refuse(answer.reason, answer);
+          this.refuse(result.reason, result);
           return;
       }
     }).catch(() =>
-      this.refuse("internal", { message: "the claim could not be decided" })
+      this.refuse("internal", {
+        message: "cannot claim the idempotency key: internal error",
+      })
     );
   }
 
-  #takeClaim(claim: KeyedClaim): void {
+  #acceptClaim(claim: KeyedClaim): void {
     if (this.#phase !== "claiming") {
-      // The caller is gone, or has its refusal: it never will be dispatched.
+      // The caller has disconnected or was refused: the request is never dispatched.
       claim.end({ kind: "not-run" });
       return;
     }
     this.#claim = claim;
-    this.#arrive();
+    this.#enterSteering();
   }
 
-  #replay(status: number, lines: string[], body: Buffer): void {
+  #replay(status: number, rawHeaders: string[], body: Buffer): void {
     if (this.#phase !== "claiming") {
       return;
     }
-    this.#res.writeHead(status, lines);
+    this.#res.writeHead(status, rawHeaders);
     this.#res.end(body);
     this.#finish("replayed");
   }
 
   /**
-   * Whether one more attempt may be sent. An at-most-once request never is
-   * once a target may have run it, whatever the decisions say: only a target's
-   * own word that it refused before running takes that back.
+   * Whether one more attempt may be sent. Once a target may have run an
+   * at-most-once request, it is never sent again, whatever the decisions say,
+   * unless that target reports that it refused the request without running it.
    */
   #mayDispatch(): boolean {
     if (this.#phase !== "steered") {
@@ -495,32 +503,32 @@
     if (this.#body !== undefined && !this.#body.available) {
       return false;
     }
-    if (this.#broken >= MOST_BROKEN) {
+    if (this.#brokenAttempts >= MAX_BROKEN_ATTEMPTS) {
       return false;
     }
     return this.route.route.repeat === "idempotent" || !this.#mayHaveRun;
   }
 
   #winnerEnded(end: AttemptEnd): void {
-    const whole = end === "answered" || end === "answered-error";
+    const isComplete = end === "answered" || end === "answered-error";
     this.#claim?.end(
-      whole && this.#copy !== undefined
-        ? this.#copy.outcome()
+      isComplete && this.#responseCopy !== undefined
+        ? this.#responseCopy.outcome()
         : { kind: "unknown" },
     );
     this.#claim = undefined;
     switch (this.#phase) {
       case "answering":
-        if (!whole) {
-          this.#breakOff();
+        if (!isComplete) {
+          this.#abortResponse();
           return;
         }
-        this.#endAnswer();
-        this.#arrived = false;
+        this.#endResponse();
+        this.#inSteering = false;
         this.#finish("served");
         return;
       case "detached":
-        this.#arrived = !whole;
+        this.#inSteering = !isComplete;
         this.#finish("caller-gone");
         return;
       default:
@@ -528,18 +536,18 @@
     }
   }
 
-  #endAnswer(): void {
+  #endResponse(): void {
     const chunk = this.#lastChunk;
-    if (chunk === undefined || chunk.length > ONE_WRITE_BYTES) {
+    if (chunk === undefined || chunk.length > MAX_SINGLE_WRITE_BYTES) {
       this.#res.end(chunk);
       return;
     }
-    // As a string it leaves in one write with the header, if that waits still.
+    // Node sends a string in one write with headers that are still unsent.
     this.#res.end(chunk.toString("latin1"), "latin1");
   }
 
-  /** The answer ends early: closing the connection keeps it from looking whole. */
-  #breakOff(): void {
+  /** Closes the connection, so that a truncated response does not look complete. */
+  #abortResponse(): void {
     this.#res.destroy();
     this.#finish("broken");
   }
@@ -551,8 +559,8 @@
       this.#claim.end({ kind: this.#mayHaveRun ? "unknown" : "not-run" });
       this.#claim = undefined;
     }
-    if (this.#arrived) {
-      this.#arrived = false;
+    if (this.#inSteering) {
+      this.#inSteering = false;
       this.#steer({ kind: "gone", request: this.id });
     }
     for (const attempt of this.#attempts) {
@@ -562,10 +570,10 @@
       this.#body!.destroy();
     }
     this.#services.ended(this, end);
-    this.#settleIfOver();
+    this.#settleIfDone();
   }
 
-  #settleIfOver(): void {
+  #settleIfDone(): void {
     if (this.#phase === "done" && this.#attempts.every((one) => one.ended)) {
       this.#services.settled(this);
     }
--- a/packages/daemon/src/http/keyed_claims.ts
+++ b/packages/daemon/src/http/keyed_claims.ts
@@ -1,5 +1,6 @@
 /**
- * Claims of keyed requests, in the words of the callers' path.
+ * Claims of keyed requests, with their outcomes translated into responses for
+ * callers.
  *
  * @module
  */
@@ -17,21 +18,21 @@
 import { REPLAYED_HEADER } from "./names.ts";
 import type { RefusalReason, RequestOutcome } from "./refusal.ts";
 
-/** A claim that was granted. It has to be ended exactly once. */
+/** A granted claim. It must be ended exactly once. */
 export interface KeyedClaim {
-  /** To be asked right before the first byte is sent. */
+  /** Must be called right before the first byte is sent; false forbids sending. */
   mayDispatch(): boolean;
   end(outcome: RunOutcome): void;
 }
 
-/** What a keyed request may do. */
-export type ClaimAnswer =
+/** Result of claiming the key of a request. */
+export type ClaimResult =
   | { readonly kind: "granted"; readonly claim: KeyedClaim }
-  /** It ran before, and this was its whole answer. */
+  /** The request ran before; this is its complete response. */
   | {
     readonly kind: "replay";
     readonly status: number;
-    readonly lines: string[];
+    readonly rawHeaders: string[];
     readonly body: Buffer;
   }
   | {
@@ -43,9 +44,9 @@
     readonly retryAfterMs?: number;
   };
 
-/** One sending of a keyed request. */
+/** A keyed request as one caller sent it. */
 export interface ClaimRequest {
-  /** Whose key it is. */
+  /** Namespace of the key; see {@link keyScope}. */
   readonly scope: string;
   readonly key: IdempotencyKey;
   readonly method: string;
@@ -54,17 +55,17 @@
   readonly timeLeftMs: number;
 }
 
-/** Decides on keyed requests. */
+/** Decides whether keyed requests may run. */
 export interface KeyedClaims {
-  claim(req: ClaimRequest): Promise<ClaimAnswer>;
+  claim(req: ClaimRequest): Promise<ClaimResult>;
 }
 
-/** Keys of two callers never meet. */
+/** Each caller has its own namespace of keys, so keys of two callers never collide. */
 export function keyScope(caller: CallerId): string {
   return caller;
 }
 
-/** Claims through the table. */
+/** Claims keys in the table. */
 export class TableClaims implements KeyedClaims {
   readonly #claims: RequestClaims;
 
@@ -72,14 +73,14 @@
     this.#claims = claims;
   }
 
-  async claim(req: ClaimRequest): Promise<ClaimAnswer> {
+  async claim(req: ClaimRequest): Promise<ClaimResult> {
     const outcome = await this.#claims.claim({
       scope: req.scope,
       key: req.key,
       bodyDigest: digest(req),
       timeLeftMs: req.timeLeftMs,
     });
-    return toAnswer(outcome);
+    return toClaimResult(outcome);
   }
 }
 
@@ -90,7 +91,7 @@
     .digest("base64url");
 }
 
-function toAnswer(outcome: ClaimOutcome): ClaimAnswer {
+function toClaimResult(outcome: ClaimOutcome): ClaimResult {
   switch (outcome.kind) {
     case "granted": {
       const { grant } = outcome;
@@ -107,14 +108,14 @@
   }
 }
 
-function replay(answer: StoredAnswer): ClaimAnswer {
+function toReplay(answer: StoredAnswer): ClaimResult {
   const body = Buffer.from(answer.bodyBase64, "base64");
-  const kept = answer.headers.filter(([name]) => name !== "content-length");
-  const length = ["content-length", String(body.length)];
+  const headers = answer.headers.filter(([name]) => name !== "content-length");
+  const contentLength = ["content-length", String(body.length)];
   return {
     kind: "replay",
     status: answer.status,
-    lines: [...kept.flat(), ...length, REPLAYED_HEADER, "1"],
+    rawHeaders: [...headers.flat(), ...contentLength, REPLAYED_HEADER, "1"],
     body,
   };
 }
@@ -122,17 +123,17 @@
 function fromRefusal(
   refusal: ClaimRefusal,
   retryAfterMs: number | undefined,
-): ClaimAnswer {
-  const later = retryAfterMs === undefined ? {} : { retryAfterMs };
+): ClaimResult {
+  const retryAfter = retryAfterMs === undefined ? {} : { retryAfterMs };
   switch (refusal.kind) {
     case "answered":
-      return replay(refusal.answer);
+      return toReplay(refusal.answer);
     case "answered-unkept":
       return {
         kind: "refused",
         reason: "ran-before",
         message:
-          `it ran before, with status ${refusal.status}; its answer was too large to keep`,
+          `the request ran before with status ${refusal.status}; its response was too large to store`,
         outcome: "ran",
         earlierUnknown: false,
       };
@@ -140,7 +141,7 @@
       return {
         kind: "refused",
         reason: "key-reused",
-        message: "the idempotency key was used for another request",
+        message: "the idempotency key was used for a different request",
         outcome: "not-run",
         earlierUnknown: false,
       };
@@ -148,28 +149,29 @@
       return {
         kind: "refused",
         reason: "outcome-unknown",
-        message: "an earlier sending of it may have run",
+        message: "an earlier request with this idempotency key may have run",
         outcome: "unknown",
         earlierUnknown: true,
-        ...later,
+        ...retryAfter,
       };
     case "running":
       return {
         kind: "refused",
         reason: "still-running",
-        message: "an earlier sending of it still runs",
+        message:
+          "an earlier request with this idempotency key is still running",
         outcome: "unknown",
         earlierUnknown: true,
-        ...later,
+        ...retryAfter,
       };
     case "not-run":
       return {
         kind: "refused",
         reason: "claim-refused",
-        message: "the table that keeps such requests single is out of reach",
+        message: "cannot claim the idempotency key: the table is unreachable",
         outcome: "not-run",
         earlierUnknown: refusal.proof === "this-sending",
-        ...later,
+        ...retryAfter,
       };
   }
 }
--- a/packages/daemon/src/http/names.ts
+++ b/packages/daemon/src/http/names.ts
@@ -4,24 +4,24 @@
  * @module
  */
 
-/** Where callers ask which entry VMs to use. */
+/** Path at which callers look up which entry VMs to use. */
 export const LOOKUP_PATH = "/.well-known/poplarthread/lookup";
 
-/** Time left, in milliseconds: from the caller, and on to the target. */
+/** Time left until the deadline, in milliseconds; sent by callers and to targets. */
 export const DEADLINE_HEADER = "poplarthread-deadline-ms";
-/** Id of the request, for logs of all sides. */
+/** Id of the request, to correlate logs of caller, VM and target. */
 export const REQUEST_ID_HEADER = "poplarthread-request-id";
-/** Entry VMs that the request has passed. */
+/** Number of entry VMs that the request has passed through. */
 export const HOPS_HEADER = "poplarthread-hops";
-/** On a refusal: what became of this sending; `not-run` or `ran` only where that is true. */
+/** On a refusal: the outcome of the request; `not-run` or `ran` only if that is certain. */
 export const OUTCOME_HEADER = "poplarthread-outcome";
-/** On a refusal: `unknown` where an earlier sending of the same key may have run. */
+/** On a refusal: `unknown` if an earlier request with the same key may have run. */
 export const EARLIER_HEADER = "poplarthread-earlier";
-/** On an answer that was kept from an earlier sending of a keyed request. */
+/** Marks a response stored for an earlier request with the same key. */
 export const REPLAYED_HEADER = "poplarthread-replayed";
-/** From a target that refused before running. */
+/** Set by a target that refused a request without running it. */
 export const NOT_RUN_HEADER = "poplarthread-not-run";
-/** From a target that is draining. */
+/** Set by a target that is draining. */
 export const LEAVING_HEADER = "poplarthread-leaving";
-/** Names a request that may run once only. */
+/** Identifies a request that may run only once. */
 export const KEY_HEADER = "idempotency-key";
--- a/packages/daemon/src/http/refusal.ts
+++ b/packages/daemon/src/http/refusal.ts
@@ -1,5 +1,5 @@
 /**
- * Answers that the daemon gives itself instead of a target's.
+ * Refusals: local replies that the daemon sends instead of a target's response.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { RequestId } from "@poplarthread/ids";
 import { EARLIER_HEADER, OUTCOME_HEADER, REQUEST_ID_HEADER } from "./names.ts";
 
-/** Why a request got no target's answer. */
+/** Why a request was refused. */
 export type RefusalReason =
   | "bad-request"
   | "no-route"
@@ -33,7 +33,7 @@
   | "internal";
 
 /** Status codes by reason. */
-const STATUS: Readonly<Record<RefusalReason, number>> = {
+const STATUS_CODES: Readonly<Record<RefusalReason, number>> = {
   "bad-request": 400,
   "no-route": 404,
   "loop": 508,
@@ -57,27 +57,27 @@
 };
 
 /**
- * What became of this sending of the request. `not-run`: it reached no target,
- * or the target said that it refused before running, and it never will run.
- * `ran`: an earlier sending of the key ran, to its end.
+ * Outcome of the request. `not-run`: it reached no target, or each target that it
+ * reached refused it without running it, and it will never run. `ran`: an earlier
+ * request with the same key ran to completion.
  */
 export type RequestOutcome = "not-run" | "ran" | "unknown";
 
-/** A final answer of the daemon's own. */
+/** A local reply that is the final response to a request. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  /** For people. */
+  /** Human-readable explanation. */
   readonly message: string;
   readonly outcome: RequestOutcome;
-  /** The request is keyed, and earlier sendings of the key could not be asked about. */
+  /** Whether the request has a key for which earlier requests could not be looked up. */
   readonly earlierUnknown?: boolean;
-  /** When to come back, in milliseconds; absent where that would not help. */
+  /** When to retry; absent if retrying would not help. */
   readonly retryAfterMs?: number;
-  /** Ends the caller's connection, since the rest of its body is not read. */
-  readonly closes?: boolean;
+  /** Closes the caller's connection, since the rest of its body is not read. */
+  readonly closesConnection?: boolean;
 }
 
-/** Sends `refusal` as the whole answer. Nothing may have been sent before. */
+/** Sends `refusal` as the complete response. Nothing may have been sent before. */
 export function sendRefusal(
   res: ServerResponse,
   refusal: Refusal,
@@ -91,7 +91,7 @@
     retryAfterMs: refusal.retryAfterMs,
     request,
   }));
-  const lines = [
+  const rawHeaders = [
     "content-type",
     "application/json",
     "content-length",
@@ -100,18 +100,18 @@
     refusal.outcome,
   ];
   if (refusal.earlierUnknown) {
-    lines.push(EARLIER_HEADER, "unknown");
+    rawHeaders.push(EARLIER_HEADER, "unknown");
   }
   if (refusal.retryAfterMs !== undefined) {
     const seconds = Math.max(1, Math.ceil(refusal.retryAfterMs / 1_000));
-    lines.push("retry-after", String(seconds));
+    rawHeaders.push("retry-after", String(seconds));
   }
   if (request !== undefined) {
-    lines.push(REQUEST_ID_HEADER, request);
+    rawHeaders.push(REQUEST_ID_HEADER, request);
   }
-  if (refusal.closes) {
-    lines.push("connection", "close");
+  if (refusal.closesConnection) {
+    rawHeaders.push("connection", "close");
   }
-  res.writeHead(STATUS[refusal.reason], lines);
+  res.writeHead(STATUS_CODES[refusal.reason], rawHeaders);
   res.end(body);
 }
--- a/packages/daemon/src/http/request_head.ts
+++ b/packages/daemon/src/http/request_head.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the header of a caller's request once: what the daemon needs of it,
- * and the header lines that go on to the target.
+ * Reads the headers of a caller's request in one pass: the values that the
+ * daemon uses, and the headers that are forwarded to the target.
  *
  * @module
  */
@@ -10,56 +10,56 @@
 import { dropConnectionHeaders, HOP_BY_HOP_HEADERS } from "./hop_by_hop.ts";
 import { DEADLINE_HEADER, HOPS_HEADER, KEY_HEADER } from "./names.ts";
 
-/** Longest idempotency key; keys end up in the table. */
+/** Longest idempotency key, in characters; limited because keys are stored in the table. */
 const MAX_KEY_LENGTH = 256;
-/** Longest caller name that is kept; names end up in counters. */
+/** Longer caller names are truncated, because counters are kept by caller name. */
 const MAX_CALLER_LENGTH = 128;
 /**
- * Entry VMs that one request may pass. Requests go from an entry VM to a
- * target; a second VM on the way already means a wrong address somewhere.
+ * Number of entry VMs that one request may pass through. Requests go from one
+ * entry VM to a target, so a second VM already means a misconfigured address.
  */
 const MAX_HOPS = 3;
 
-/** Who is reading: what goes into the lines that a proxy adds. */
+/** Values for the headers that this proxy reads and adds. */
 export interface HeadOptions {
   /** Name of this VM, in `via`. */
   readonly vm: string;
-  /** Lower-case header that names the caller. */
+  /** Name of the header that identifies the caller, in lower case. */
   readonly callerHeader: string;
 }
 
-/** Why a request cannot be steered at all; nothing of it was run. */
+/** Why a request is rejected before routing; it was not run. */
 export interface BadRequest {
   readonly kind: "bad-request";
   readonly status: 400 | 508;
   readonly reason: string;
 }
 
-/** What the header says. */
+/** Contents of the request headers. */
 export interface RequestHead {
   readonly kind: "head";
-  /** Lines for the target, name and value in turn. */
-  readonly lines: string[];
-  /** Bytes of the body; -1 where the header does not say. */
+  /** Headers for the target, as alternating names and values. */
+  readonly rawHeaders: string[];
+  /** Length of the body in bytes; -1 without `content-length`. */
   readonly contentLength: number;
   readonly chunked: boolean;
   readonly key: IdempotencyKey | undefined;
-  /** Milliseconds that the caller gives; undefined where it names none. */
+  /** Time that the caller allows; undefined if it sets no deadline. */
   readonly deadlineMs: number | undefined;
   readonly caller: CallerId;
 }
 
-function bad(reason: string, status: 400 | 508 = 400): BadRequest {
+function badRequest(reason: string, status: 400 | 508 = 400): BadRequest {
   return { kind: "bad-request", status, reason };
 }
 
-/** Reads the header of `req`. */
+/** Reads the headers of `req`. */
 export function readHead(
   req: IncomingMessage,
   options: HeadOptions,
 ): RequestHead | BadRequest {
-  const raw = req.rawHeaders;
-  const lines: string[] = [];
+  const rawRequestHeaders = req.rawHeaders;
+  const rawHeaders: string[] = [];
   let contentLength = -1;
   let chunked = false;
   let key: string | undefined;
@@ -69,9 +69,9 @@
   let via = "";
   let forwarded = "";
   let connection = "";
-  for (let at = 0; at < raw.length; at += 2) {
-    const name = raw[at]!.toLowerCase();
-    const value = raw[at + 1]!;
+  for (let at = 0; at < rawRequestHeaders.length; at += 2) {
+    const name = rawRequestHeaders[at]!.toLowerCase();
+    const value = rawRequestHeaders[at + 1]!;
     switch (name) {
       case "content-length":
         contentLength = Number(value);
@@ -96,12 +96,12 @@
         continue;
       case KEY_HEADER:
         if (key !== undefined && key !== value) {
-          return bad("two idempotency keys");
+          return badRequest("the request has two different idempotency keys");
         }
         key = value;
         break;
       default:
-        // `expect` is answered by this listener; a target must not answer it again.
+        // This listener answers `expect`; a target must not answer it again.
         if (HOP_BY_HOP_HEADERS.has(name) || name === "expect") {
           continue;
         }
@@ -109,23 +109,25 @@
           caller = value;
         }
     }
-    lines.push(name, value);
+    rawHeaders.push(name, value);
   }
   if (deadlineMs !== undefined && !(deadlineMs >= 1)) {
-    return bad(`${DEADLINE_HEADER} must be a number of at least 1`);
+    return badRequest(`${DEADLINE_HEADER} must be a number of at least 1`);
   }
   if (key !== undefined && (key === "" || key.length > MAX_KEY_LENGTH)) {
-    return bad(`${KEY_HEADER} must have 1 to ${MAX_KEY_LENGTH} characters`);
+    return badRequest(
+      `${KEY_HEADER} must have 1 to ${MAX_KEY_LENGTH} characters`,
+    );
   }
   if (!Number.isInteger(hops) || hops < 0) {
-    return bad(`${HOPS_HEADER} must be a whole number`);
+    return badRequest(`${HOPS_HEADER} must be a non-negative integer`);
   }
-  if (hops >= MAX_HOPS || passedBefore(via, options.vm)) {
-    return bad("the request goes round in a loop", 508);
+  if (hops >= MAX_HOPS || hasPassedThrough(via, options.vm)) {
+    return badRequest("the request is in a proxy loop", 508);
   }
   const address = req.socket.remoteAddress ?? "unknown";
-  const kept = dropConnectionHeaders(lines, connection);
-  kept.push(
+  const targetHeaders = dropConnectionHeaders(rawHeaders, connection);
+  targetHeaders.push(
     "via",
     `${via}1.1 ${options.vm}`,
     "forwarded",
@@ -135,7 +137,7 @@
   );
   return {
     kind: "head",
-    lines: kept,
+    rawHeaders: targetHeaders,
     contentLength,
     chunked,
     key: key as IdempotencyKey | undefined,
@@ -144,8 +146,8 @@
   };
 }
 
-/** Whether `via` names this VM: then the request came back to it. */
-function passedBefore(via: string, vm: string): boolean {
+/** Whether `via` names this VM, so that the request has returned to it. */
+function hasPassedThrough(via: string, vm: string): boolean {
   return via !== "" &&
     via.split(",").some((hop) => hop.trim().split(/\s+/)[1] === vm);
 }
--- a/packages/daemon/src/http/answer_copy.ts
+++ b/packages/daemon/src/http/response_copy.ts
@@ -1,5 +1,6 @@
 /**
- * A copy of an answer for repeats of a keyed request, up to a bound.
+ * Copies a response, up to a size limit, so that it can be replayed to repeats
+ * of a keyed request.
  *
  * @module
  */
@@ -7,20 +8,24 @@
 import { Buffer } from "node:buffer";
 import type { RunOutcome } from "@poplarthread/coordination";
 
-/** Collects one answer. */
-export class AnswerCopy {
+/** Collects one response while it is passed on. */
+export class ResponseCopy {
   readonly #status: number;
   readonly #headers: (readonly [string, string])[] = [];
   readonly #limitBytes: number;
   #chunks: Buffer[] = [];
   #bytes = 0;
 
-  /** `lines` are the header lines, name and value in turn. */
-  constructor(status: number, lines: readonly string[], limitBytes: number) {
+  /** `rawHeaders` are the headers as alternating names and values. */
+  constructor(
+    status: number,
+    rawHeaders: readonly string[],
+    limitBytes: number,
+  ) {
     this.#status = status;
     this.#limitBytes = limitBytes;
-    for (let at = 0; at < lines.length; at += 2) {
-      this.#headers.push([lines[at]!, lines[at + 1]!]);
+    for (let at = 0; at < rawHeaders.length; at += 2) {
+      this.#headers.push([rawHeaders[at]!, rawHeaders[at + 1]!]);
     }
   }
 
@@ -33,7 +38,7 @@
     }
   }
 
-  /** How the run ended, once the whole answer has come. */
+  /** The outcome to store; call it once the response is complete. */
   outcome(): RunOutcome {
     const status = this.#status;
     if (this.#bytes > this.#limitBytes) {
--- a/packages/daemon/src/http/answer_head.ts
+++ b/packages/daemon/src/http/response_head.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the header of a target's answer once: what the daemon learns from it,
- * and the lines that go on to the caller.
+ * Reads the headers of a target's response in one pass: the values that the
+ * daemon uses, and the headers that are forwarded to the caller.
  *
  * @module
  */
@@ -9,23 +9,23 @@
 import { dropConnectionHeaders, HOP_BY_HOP_HEADERS } from "./hop_by_hop.ts";
 import { LEAVING_HEADER, NOT_RUN_HEADER, OUTCOME_HEADER } from "./names.ts";
 
-/** What the header says. */
-export interface AnswerHead {
-  /** Lines for the caller, name and value in turn. */
-  readonly lines: string[];
-  /** Bytes of the body; -1 where the header does not say. */
+/** Contents of the response headers. */
+export interface ResponseHead {
+  /** Headers for the caller, as alternating names and values. */
+  readonly rawHeaders: string[];
+  /** Length of the body in bytes; -1 without `content-length`. */
   readonly contentLength: number;
-  /** The target says that it refused before running. */
+  /** The target reports that it refused the request without running it. */
   readonly notRun: boolean;
-  /** The target says that it is draining. */
+  /** The target reports that it is draining. */
   readonly leaving: boolean;
-  /** Milliseconds until the target wants to be asked again; 0 where unsaid. */
+  /** Back-off that the target asks for in `retry-after`; 0 without one. */
   readonly retryAfterMs: number;
 }
 
-/** Reads the raw header lines of an answer, as undici hands them over. */
-export function readAnswerHead(raw: readonly Buffer[]): AnswerHead {
-  const lines: string[] = [];
+/** Reads a response's raw headers as undici passes them. */
+export function readResponseHead(raw: readonly Buffer[]): ResponseHead {
+  const rawHeaders: string[] = [];
   let contentLength = -1;
   let notRun = false;
   let leaving = false;
@@ -38,7 +38,7 @@
       case "connection":
         connection += `,${value}`;
         continue;
-      // Only this listener may vouch for what became of the request.
+      // Only this listener may state the outcome of the request to the caller.
       case OUTCOME_HEADER:
         continue;
       case NOT_RUN_HEADER:
@@ -58,10 +58,10 @@
           continue;
         }
     }
-    lines.push(name, value);
+    rawHeaders.push(name, value);
   }
   return {
-    lines: dropConnectionHeaders(lines, connection),
+    rawHeaders: dropConnectionHeaders(rawHeaders, connection),
     contentLength,
     notRun,
     leaving,
--- a/packages/daemon/src/http/routes.ts
+++ b/packages/daemon/src/http/routes.ts
@@ -1,6 +1,6 @@
 /**
- * Finds the route of a request: method and path prefix by whole segments, the
- * longest prefix wins.
+ * Finds the route of a request by its method and path prefix. Prefixes match
+ * complete path segments, and the longest prefix wins.
  *
  * @module
  */
@@ -11,20 +11,20 @@
 export interface CompiledRoute {
   readonly route: PresetRoute;
   readonly class: PresetClass;
-  /** Prefix without its closing slash; empty for the root. */
+  /** Path prefix without its trailing slash; empty for the root. */
   readonly prefix: string;
 }
 
-/** What a path came to. */
+/** Result of a route look-up. */
 export type RouteMatch =
   | { readonly kind: "found"; readonly route: CompiledRoute }
   | { readonly kind: "none" }
-  /** The path could mean another one to the target. */
+  /** The target could interpret the path as a different one. */
   | { readonly kind: "ambiguous"; readonly reason: string };
 
-const NONE: RouteMatch = { kind: "none" };
+const NO_MATCH: RouteMatch = { kind: "none" };
 
-/** The routes of one preset, ready for look-up. */
+/** The routes of one preset, indexed for look-up. */
 export class RouteTable {
   readonly #byMethod = new Map<string, readonly (RouteMatch & Found)[]>();
 
@@ -52,20 +52,20 @@
     }
   }
 
-  /** The route of `method` and `url` (path and query as the caller sent them). */
+  /** Finds the route for `method` and `url` (path and query as the caller sent them). */
   find(method: string, url: string): RouteMatch {
     const routes = this.#byMethod.get(method);
     if (routes === undefined) {
-      return NONE;
+      return NO_MATCH;
     }
     const query = url.indexOf("?");
     let path = query === -1 ? url : url.slice(0, query);
-    if (UNUSUAL.test(path)) {
-      const plain = toPlainPath(path);
-      if (plain === undefined) {
+    if (NEEDS_NORMALIZING.test(path)) {
+      const normalized = normalizePath(path);
+      if (normalized === undefined) {
         return AMBIGUOUS;
       }
-      path = plain;
+      path = normalized;
     }
     for (const found of routes) {
       const prefix = found.route.prefix;
@@ -76,7 +76,7 @@
         return found;
       }
     }
-    return NONE;
+    return NO_MATCH;
   }
 }
 
@@ -84,21 +84,21 @@
   readonly kind: "found";
 }
 
-/** Escapes, empty segments, dot segments: a target may read these otherwise. */
-const UNUSUAL = /%|\/\/|\/\.|\\/;
+/** Escapes, empty segments, dot segments and backslashes, which targets may normalize. */
+const NEEDS_NORMALIZING = /%|\/\/|\/\.|\\/;
 
 const AMBIGUOUS: RouteMatch = {
   kind: "ambiguous",
-  reason: "the path has dot segments or broken escapes",
+  reason: "the path has dot segments or malformed percent-encoding",
 };
 
 /**
- * The path as a target would read it. A caller that writes `/x/../orders`, or
- * `/%6frders`, would otherwise slip past the route that says an order runs at
- * most once, and a retry could run it twice. Undefined where the path has dot
- * segments or cannot be decoded.
+ * Normalizes the path as a target would. Otherwise a request for `/x/../orders`
+ * or `/%6frders` would bypass the route that makes orders at-most-once, and a
+ * retry could run an order twice. Returns undefined if the path has dot segments
+ * or cannot be decoded.
  */
-function toPlainPath(path: string): string | undefined {
+function normalizePath(path: string): string | undefined {
   let decoded: string;
   try {
     decoded = decodeURIComponent(path).replaceAll("\\", "/");
--- a/packages/daemon/src/http/target_pools.ts
+++ b/packages/daemon/src/http/target_pools.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to targets: one pool for each, within this VM's share of the
- * connections that the target accepts.
+ * Connection pools, one per target, limited to this VM's share of the connections
+ * that the target accepts.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { type Dispatcher, Pool } from "undici";
 import type { TargetId } from "@poplarthread/ids";
 
-/** Where a target is and how many connections this VM may keep to it. */
+/** A target's address and the number of connections this VM may open to it. */
 export interface PoolTarget {
   readonly id: TargetId;
   /** `host:port`. */
@@ -17,36 +17,35 @@
 }
 
 /**
- * Longest time for a connection to come about, in milliseconds. A new one takes
- * about 1 ms beside the round trip of at most 110 ms; a second is lost only on
- * a target that is not there.
+ * Time-out for opening a connection. Opening takes about 1 ms plus a round trip of
+ * at most 110 ms, so only an unreachable target costs the full second.
  */
 const CONNECT_TIMEOUT_MS = 1_000;
-/** An idle connection is dropped after this long, before targets commonly do (5 s). */
+/** Idle connections are closed before targets commonly close theirs (5 s). */
 const KEEP_ALIVE_MS = 4_000;
 
-interface Entry {
+interface PoolEntry {
   readonly pool: Pool;
   readonly address: string;
   readonly connections: number;
 }
 
-/** The pools of all targets that are known. */
+/** Connection pools of all known targets. */
 export class TargetPools {
   readonly #localAddress: string | undefined;
-  readonly #entries = new Map<TargetId, Entry>();
+  readonly #entries = new Map<TargetId, PoolEntry>();
 
   constructor(options: { localAddress: string }) {
     const { localAddress } = options;
-    const any = localAddress === "0.0.0.0" || localAddress === "::";
-    this.#localAddress = any ? undefined : localAddress;
+    const isAnyAddress = localAddress === "0.0.0.0" || localAddress === "::";
+    this.#localAddress = isAnyAddress ? undefined : localAddress;
   }
 
-  /** Opens pools for new targets; those that are gone finish what they have. */
+  /** Opens pools for new targets; pools of removed targets finish their requests and close. */
   setTargets(targets: readonly PoolTarget[]): void {
-    const gone = new Set(this.#entries.keys());
+    const removedIds = new Set(this.#entries.keys());
     for (const target of targets) {
-      gone.delete(target.id);
+      removedIds.delete(target.id);
       const entry = this.#entries.get(target.id);
       if (
         entry?.address === target.address &&
@@ -56,14 +55,14 @@
       }
       this.#replace(target, entry);
     }
-    for (const id of gone) {
+    for (const id of removedIds) {
       const entry = this.#entries.get(id)!;
       this.#entries.delete(id);
       entry.pool.close().catch(() => undefined);
     }
   }
 
-  /** The pool of a target; undefined where the target is not known (any more). */
+  /** The pool of a target; undefined if the target is not known or was removed. */
   get(id: TargetId): Dispatcher | undefined {
     return this.#entries.get(id)?.pool;
   }
@@ -74,13 +73,13 @@
     await Promise.all(pools.map((pool) => pool.destroy()));
   }
 
-  #replace(target: PoolTarget, before: Entry | undefined): void {
+  #replace(target: PoolTarget, previous: PoolEntry | undefined): void {
     const pool = new Pool(`http://${target.address}`, {
       connections: target.connections,
       pipelining: 1,
       connectTimeout: CONNECT_TIMEOUT_MS,
       keepAliveTimeout: KEEP_ALIVE_MS,
-      // The exchange has its own deadline; a second set of timers would only cost.
+      // The exchange has its own deadline, so timers of the pool would be redundant.
       headersTimeout: 0,
       bodyTimeout: 0,
       ...(this.#localAddress === undefined
@@ -89,6 +88,6 @@
     });
     const { address, connections } = target;
     this.#entries.set(target.id, { pool, address, connections });
-    before?.pool.close().catch(() => undefined);
+    previous?.pool.close().catch(() => undefined);
   }
 }
--- a/packages/daemon/src/operator/body.ts
+++ b/packages/daemon/src/operator/body.ts
@@ -1,6 +1,5 @@
 /**
- * Bodies of operators' requests: bounded, and checked before anything uses
- * them.
+ * Reads bodies of operators' requests as JSON, up to a size limit.
  *
  * @module
  */
@@ -9,10 +8,10 @@
 import { Buffer } from "node:buffer";
 import { HttpError } from "./http_error.ts";
 
-/** A preset of 450 sites stays far below; anything larger is no request of ours. */
+/** Largest request body; a preset of 450 sites is far smaller. */
 export const MAX_BODY_BYTES = 4 * 1024 * 1024;
 
-/** Reads a whole body as JSON; throws {@link HttpError} when it is too large or no JSON. */
+/** Reads the complete body as JSON; throws {@link HttpError} if it is too large or not JSON. */
 export async function readBody(req: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
   let size = 0;
--- a/packages/daemon/src/operator/http_error.ts
+++ b/packages/daemon/src/operator/http_error.ts
@@ -1,12 +1,12 @@
 /**
- * A request of an operator that is answered with an error status.
+ * The error that makes an operator's request fail with an HTTP status.
  *
  * @module
  */
 
 import type { Finding } from "@poplarthread/config";
 
-/** Thrown by handlers; the listener turns it into an answer. */
+/** Thrown by handlers; the listener converts it into an error response. */
 export class HttpError extends Error {
   override readonly name = "HttpError";
   readonly status: number;
--- a/packages/daemon/src/operator/listener_test.ts
+++ b/packages/daemon/src/operator/listener_test.ts
@@ -43,8 +43,8 @@
   return new OperatorClient({ url, token, timeoutMs: 5_000 });
 }
 
-// Someone guesses at the listener, or an operator's token was taken back. They
-// are told that a token is needed, nothing else, and the refusal is counted.
+// Someone guesses tokens, or an operator's token was revoked. The response says
+// only that a token is needed, and the refusal is counted.
 test("a request without a known token is refused and counted", async () => {
   const client = await start("wrong-token");
   await expect(client.presets()).rejects.toMatchObject({ status: 401 });
@@ -52,31 +52,31 @@
   await client.close();
 });
 
-test("a change carries the name that belongs to its token", async () => {
+test("a change is recorded under the operator name of its token", async () => {
   const client = await start();
-  const answer = await client.change({
+  const response = await client.change({
     operation: "operation-1" as never,
     seenRevision: 6,
     why: "works on the line",
     change: { kind: "drain", subject: { kind: "zone", id: "zilina-1" } },
   });
-  expect(answer).toEqual({ kind: "accepted", revision: 7 });
+  expect(response).toEqual({ kind: "accepted", revision: 7 });
   expect(accepted).toMatchObject([{ who: "jana", seenRevision: 6 }]);
   await client.close();
 });
 
-// An edited preset names a region that does not exist. Were it written, every
-// VM would have to cope with it; the operator is told the place instead.
-test("a preset with findings reaches no table", async () => {
+// An invalid preset must not be written, since every VM would read it. The
+// operator gets the findings with their positions instead.
+test("a preset with findings is not written to the table", async () => {
   const client = await start();
-  const answer = await client.change({
+  const response = await client.change({
     operation: "operation-2" as never,
     seenRevision: 6,
     why: "try",
     change: { kind: "edit", preset: {} as never },
   }).catch((err: OperatorApiError) => err);
-  expect(answer).toBeInstanceOf(OperatorApiError);
-  expect((answer as OperatorApiError).errorBody?.findings?.length)
+  expect(response).toBeInstanceOf(OperatorApiError);
+  expect((response as OperatorApiError).errorBody?.findings?.length)
     .toBeGreaterThan(
       5,
     );
@@ -84,9 +84,9 @@
   await client.close();
 });
 
-// A scanner or a broken script sends whatever it likes, with a valid token.
-// The listener answers each with a client error and goes on serving.
-test("arbitrary requests are answered and leave the listener serving", async () => {
+// A broken script sends arbitrary requests with a valid token. The listener
+// answers each with a client error and keeps serving.
+test("arbitrary requests get client errors and do not stop the listener", async () => {
   const client = await start();
   const url = `http://127.0.0.1:${listener!.port}`;
   const path = fc.webPath();
@@ -107,14 +107,14 @@
   await client.close();
 });
 
-test("probes need no token", async () => {
+test("probes do not require a token", async () => {
   await start();
   const res = await fetch(`http://127.0.0.1:${listener!.port}/readyz`);
   expect([res.status, await res.text()]).toEqual([503, "no preset"]);
 });
 
-// The tokens file is malformed. Its text holds secrets, so the message that
-// goes into the log must not quote it.
+// The tokens file holds secrets, so the error for a malformed one, which is
+// logged, must not quote its text.
 test("a malformed tokens file is refused without quoting it", () => {
   expect(() => new OperatorTokens('{"jana": "secret-')).toThrow(TokensError);
   expect(() => new OperatorTokens('{"jana": "secret-')).not.toThrow(/secret/);
--- a/packages/daemon/src/operator/mod.ts
+++ b/packages/daemon/src/operator/mod.ts
@@ -1,5 +1,6 @@
 /**
- * The operator's listener: the API of the operator's command, and the probes.
+ * The operators' listener: the API for the operators' command-line tool, and the
+ * health, readiness and metrics endpoints.
  *
  * @module
  */
@@ -21,33 +22,33 @@
 } from "../operator_backend.ts";
 import { readBody } from "./body.ts";
 import { HttpError } from "./http_error.ts";
-import { answer } from "./routes.ts";
+import { handleRequest } from "./routes.ts";
 import { OperatorTokens } from "./tokens.ts";
 
 export { OperatorTokens, TokensError } from "./tokens.ts";
 
-/** Longest time an operator's request may take to arrive. */
+/** Time-out for receiving an operator's complete request. */
 const REQUEST_TIMEOUT_MS = 10_000;
 const TABLE_RETRY_AFTER_S = 2;
 
-/** Where the listener binds and whom it knows. */
+/** Options of {@link startOperatorListener}. */
 export interface OperatorListenerOptions {
   readonly host: string;
   readonly port: number;
   readonly tokens: OperatorTokens;
-  /** Called for each request refused for its token, for the metrics. */
+  /** Called for each request without a valid token, to count it. */
   readonly onUnauthenticated?: () => void;
 }
 
-/** A listener that serves. */
+/** A running listener. */
 export interface OperatorListener {
-  /** The port it got; the one asked for unless that was 0. */
+  /** The port it is bound to; differs from the configured port only if that is 0. */
   readonly port: number;
-  /** Takes no new connections and ends the idle ones. */
+  /** Stops accepting connections, closes the idle ones and resolves when all have closed. */
   close(): Promise<void>;
 }
 
-/** Starts the listener; settles when it listens. */
+/** Starts the listener; resolves when it accepts connections. */
 export async function startOperatorListener(
   backend: OperatorBackend,
   probes: ProbeHandlers,
@@ -64,7 +65,7 @@
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
-    const probe = await probeAnswer(probes, req);
+    const probe = await probeResponse(probes, req);
     if (probe !== undefined) {
       res.writeHead(probe.status, { "content-type": probe.contentType });
       res.end(probe.body);
@@ -75,7 +76,7 @@
       options.onUnauthenticated?.();
       throw new HttpError(401, "an operator's token is needed");
     }
-    const value = await answer(backend, {
+    const value = await handleRequest(backend, {
       method: req.method ?? "GET",
       url: parseUrl(req),
       who,
@@ -92,7 +93,7 @@
   };
 }
 
-async function probeAnswer(
+async function probeResponse(
   probes: ProbeHandlers,
   req: IncomingMessage,
 ): Promise<ProbeAnswer | undefined> {
@@ -115,7 +116,7 @@
   try {
     return new URL(req.url ?? "/", "http://operator");
   } catch {
-    throw new HttpError(400, "the request's path is malformed");
+    throw new HttpError(400, "the request path is malformed");
   }
 }
 
@@ -133,16 +134,18 @@
     res.destroy();
     return;
   }
-  // What is left of the body is not read: an oversized one would hold the connection.
+  // The rest of the body is not read, since an oversized one would occupy the connection.
   res.setHeader("connection", "close");
   if (err instanceof TableError) {
     res.setHeader("retry-after", String(TABLE_RETRY_AFTER_S));
   }
-  const { status, body } = describe(err);
+  const { status, body } = toErrorResponse(err);
   sendJson(res, status, body);
 }
 
-function describe(err: unknown): { status: number; body: ErrorResponse } {
+function toErrorResponse(
+  err: unknown,
+): { status: number; body: ErrorResponse } {
   if (err instanceof HttpError) {
     return {
       status: err.status,
--- a/packages/daemon/src/operator/routes.ts
+++ b/packages/daemon/src/operator/routes.ts
@@ -1,6 +1,5 @@
 /**
- * The operator listener's routes: which call of the backend answers which
- * request.
+ * Routes of the operators' listener: maps each request to a call of the backend.
  *
  * @module
  */
@@ -20,11 +19,11 @@
 import type { OperatorBackend } from "../operator_backend.ts";
 import { HttpError } from "./http_error.ts";
 
-/** A request of an operator, as far as routes look at it. */
+/** The parts of an operator's request that the routes use. */
 export interface OperatorRequest {
   readonly method: string;
   readonly url: URL;
-  /** Name of the operator, from the token. */
+  /** Name of the operator whose token the request carries. */
   readonly who: string;
   /** Reads the body as JSON. */
   readonly body: () => Promise<unknown>;
@@ -33,14 +32,14 @@
 const DEFAULT_AUDIT_LIMIT = 50;
 const MAX_AUDIT_LIMIT = 1_000;
 
-/** Answers with the value to send as JSON; throws {@link HttpError} otherwise. */
-export async function answer(
+/** Returns the value to send as JSON; throws {@link HttpError} if the request fails. */
+export async function handleRequest(
   backend: OperatorBackend,
   req: OperatorRequest,
 ): Promise<unknown> {
-  const steps = req.url.pathname.split("/").slice(1);
-  const [version, resource, name, detail] = steps;
-  if (version !== "v1" || steps.length > 4) {
+  const segments = req.url.pathname.split("/").slice(1);
+  const [version, resource, name, detail] = segments;
+  if (version !== "v1" || segments.length > 4) {
     throw new HttpError(404, "no such resource");
   }
   if (name !== undefined && resource !== "presets") {
@@ -50,18 +49,18 @@
     case "GET status":
       return backend.status();
     case "GET configuration":
-      return found(backend.configuration(), "no preset is in force yet");
+      return requireFound(backend.configuration(), "no preset is in force yet");
     case "GET presets":
       return await readPresets(backend, req.url, { name, detail });
     case "POST check":
-      return check(await req.body());
+      return checkPreset(await req.body());
     case "POST changes":
-      return await change(backend, req);
+      return await acceptChange(backend, req);
     case "GET audit":
       return await backend.audit({
-        before: number(req.url, "before"),
+        before: integerParam(req.url, "before"),
         limit: Math.min(
-          number(req.url, "limit") ?? DEFAULT_AUDIT_LIMIT,
+          integerParam(req.url, "limit") ?? DEFAULT_AUDIT_LIMIT,
           MAX_AUDIT_LIMIT,
         ),
       });
@@ -89,8 +88,14 @@
   const preset = id<PresetId>(name);
   switch (detail) {
     case undefined: {
-      const version = await backend.preset(preset, number(url, "version"));
-      return found(version, `there is no such version of preset "${name}"`);
+      const version = await backend.preset(
+        preset,
+        integerParam(url, "version"),
+      );
+      return requireFound(
+        version,
+        `preset "${name}" does not exist or has no such version`,
+      );
     }
     case "history":
       return await backend.presetHistory(preset);
@@ -99,13 +104,13 @@
   }
 }
 
-async function change(
+async function acceptChange(
   backend: OperatorBackend,
   req: OperatorRequest,
 ): Promise<ChangeResponse> {
   const request = validateValue(await req.body(), changeRequestFormat);
   if (request.change.kind === "edit") {
-    const { findings } = check(request.change.preset);
+    const { findings } = checkPreset(request.change.preset);
     if (findings.length > 0) {
       return {
         kind: "refused",
@@ -117,7 +122,7 @@
   return await backend.accept({ ...request, who: req.who });
 }
 
-function check(value: unknown): CheckResponse {
+function checkPreset(value: unknown): CheckResponse {
   try {
     validateValue(value, presetFormat);
     return { findings: [] };
@@ -129,20 +134,23 @@
   }
 }
 
-function found<T>(value: T | undefined, message: string): T {
+function requireFound<T>(value: T | undefined, message: string): T {
   if (value === undefined) {
     throw new HttpError(404, message);
   }
   return value;
 }
 
-function number(url: URL, name: string): number | undefined {
+function integerParam(url: URL, name: string): number | undefined {
   const text = url.searchParams.get(name);
   if (text === null) {
     return undefined;
   }
   if (!/^\d{1,12}$/.test(text)) {
-    throw new HttpError(400, `${name} must be a whole number`);
+    throw new HttpError(
+      400,
+      `${name} must be a non-negative integer of at most 12 digits`,
+    );
   }
   return Number(text);
 }
--- a/packages/daemon/src/operator/tokens.ts
+++ b/packages/daemon/src/operator/tokens.ts
@@ -1,5 +1,6 @@
 /**
- * Who an operator is: the tokens file, and the check of a request's token.
+ * Authenticates operators: reads the tokens file and checks the tokens of
+ * requests.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 import type { Buffer } from "node:buffer";
 
-/** The tokens file does not hold what it should. */
+/** The tokens file is malformed. */
 export class TokensError extends Error {
   override readonly name = "TokensError";
 }
@@ -15,26 +16,26 @@
 const MIN_TOKEN_LENGTH = 8;
 const BEARER = "Bearer ";
 
-/** Knows the operators by digests of their tokens. */
+/** Maps digests of tokens to operators. */
 export class OperatorTokens {
   readonly #digests: ReadonlyMap<string, Buffer>;
 
-  /** Reads the text of the tokens file: a JSON object of operator name to token. */
+  /** Parses the text of the tokens file: a JSON object that maps operator names to tokens. */
   constructor(text: string) {
     this.#digests = new Map(
       parseTokens(text).map(([name, token]) => [name, digest(token)]),
     );
   }
 
-  /** The operator whose token the header carries; undefined where none is. */
+  /** Returns the operator whose token the header carries; undefined if none matches. */
   identify(authorization: string | undefined): string | undefined {
     if (!authorization?.startsWith(BEARER)) {
       return undefined;
     }
     const given = digest(authorization.slice(BEARER.length));
     let who: string | undefined;
-    // Every digest is compared, each in constant time: how long a refusal
-    // takes must tell nothing about how near a guess came.
+    // Every digest is compared, each in constant time, so that response times
+    // reveal nothing about how close a guess is.
     for (const [name, known] of this.#digests) {
       if (timingSafeEqual(given, known)) {
         who = name;
@@ -54,7 +55,7 @@
   }
   if (typeof value !== "object" || value === null || Array.isArray(value)) {
     throw new TokensError(
-      "Cannot read the operators' tokens: expected an object of name to token",
+      "Cannot read the operators' tokens: expected an object that maps names to tokens",
     );
   }
   return Object.entries(value).map(([name, token]) => {
--- a/packages/daemon/src/peers/channel.ts
+++ b/packages/daemon/src/peers/channel.ts
@@ -1,5 +1,6 @@
 /**
- * One kept connection to a peer: lines of JSON-RPC both ways.
+ * A persistent connection to a peer that carries newline-delimited JSON-RPC in
+ * both directions.
  *
  * @module
  */
@@ -15,28 +16,28 @@
 import { LineReader } from "./line_reader.ts";
 
 /**
- * Longest line before the peer has proved itself: a handshake is about 300
- * bytes, and a stranger must not make this VM keep more.
+ * Longest line before the peer is authenticated. A handshake is about 300 bytes,
+ * and an unauthenticated peer must not make this VM buffer much more.
  */
-export const STRANGER_LINE_BYTES = 4_096;
-/** Longest line of a peer: a preset of 1,000 routes is about 200 KB. */
-export const PEER_LINE_BYTES = 1_048_576;
-/** Unsent bytes beyond which notices are dropped: the peer has stopped reading. */
+export const MAX_UNAUTHENTICATED_LINE_BYTES = 4_096;
+/** Longest line of an authenticated peer; a preset of 1,000 routes is about 200 KB. */
+export const MAX_PEER_LINE_BYTES = 1_048_576;
+/** With more unsent bytes, the peer has stopped reading and notifications are dropped. */
 const MAX_UNSENT_BYTES = 4_194_304;
 
-/** Told of what passes and of the end. */
+/** Receives a channel's traffic counts and its end. */
 export interface ChannelListener {
   bytesRead(count: number): void;
   bytesWritten(count: number): void;
-  /** Called once. `err` is absent where the other side just closed. */
+  /** Called once. `err` is undefined if the connection closed without an error. */
   closed(err: Error | undefined): void;
 }
 
-/** Speaks JSON-RPC over a socket. */
+/** A JSON-RPC client and server over one socket. */
 export class Channel {
   readonly rpc: JSONRPCServerAndClient;
   readonly #socket: Socket;
-  readonly #reader = new LineReader(STRANGER_LINE_BYTES);
+  readonly #reader = new LineReader(MAX_UNAUTHENTICATED_LINE_BYTES);
   readonly #listener: ChannelListener;
   #closed = false;
 
@@ -54,7 +55,7 @@
     socket.on("close", () => this.close());
   }
 
-  /** Whether so much is unsent that more would only pile up. */
+  /** Whether too much is unsent to queue more. */
   get congested(): boolean {
     return this.#socket.writableLength > MAX_UNSENT_BYTES;
   }
@@ -63,12 +64,12 @@
     return this.#closed;
   }
 
-  /** The peer has proved itself: it may send long lines. */
-  trust(): void {
-    this.#reader.maxLength = PEER_LINE_BYTES;
+  /** Marks the peer as authenticated, which allows longer lines. */
+  markAuthenticated(): void {
+    this.#reader.maxLineBytes = MAX_PEER_LINE_BYTES;
   }
 
-  /** Ends the connection; what waits for an answer fails. */
+  /** Closes the connection; pending requests are rejected. */
   close(err?: Error): void {
     if (this.#closed) {
       return;
@@ -79,15 +80,19 @@
     this.#listener.closed(err);
   }
 
-  /** Ends the connection once the answer to the message at hand is out. */
-  finish(err: Error): void {
-    // The answer is written a few microtasks from now.
+  /** Closes the connection after the response to the current message is sent. */
+  closeAfterResponse(err: Error): void {
+    // The response is written a few microtasks from now.
     setImmediate(() => this.#socket.end(() => this.close(err)));
   }
 
   #write(payload: unknown): Promise<void> {
     if (this.#closed) {
-      return Promise.reject(new PeerProtocolError("Cannot write: closed"));
+      return Promise.reject(
+        new PeerProtocolError(
+          "Cannot write to the peer: the connection is closed",
+        ),
+      );
     }
     const line = JSON.stringify(payload) + "\n";
     this.#listener.bytesWritten(line.length);
@@ -114,10 +119,12 @@
     try {
       payload = JSON.parse(line);
     } catch {
-      throw new PeerProtocolError("Cannot read a line: not JSON");
+      throw new PeerProtocolError("Cannot read a line from the peer: not JSON");
     }
     if (typeof payload !== "object" || payload === null) {
-      throw new PeerProtocolError("Cannot read a line: not a message");
+      throw new PeerProtocolError(
+        "Cannot read a line from the peer: not a JSON object",
+      );
     }
     this.rpc.receiveAndSend(payload, undefined, undefined).catch((err) =>
       this.close(err as Error)
--- a/packages/daemon/src/peers/handshake.ts
+++ b/packages/daemon/src/peers/handshake.ts
@@ -1,7 +1,7 @@
 /**
- * The handshake of two VMs: each proves that it knows the shared token by an
- * HMAC over the nonces of both. The token itself never goes over the network,
- * and a recorded proof is worthless, since the other side's nonce is new.
+ * The handshake between two VMs: each proves that it knows the shared token with
+ * an HMAC over the nonces of both sides. The token itself is never sent, and a
+ * recorded proof cannot be replayed, since the other side's nonce is new.
  *
  * @module
  */
@@ -11,23 +11,23 @@
 import { PeerProtocolError } from "../errors.ts";
 import { type PeerId, PROTOCOL_VERSION } from "./messages.ts";
 
-/** The first message of whoever connects. */
+/** The first message of the connecting side. */
 export interface Hello extends PeerId {
   readonly version: number;
   readonly nonce: string;
 }
 
-/** The answer to it. */
+/** The response to {@link Hello}. */
 export interface Welcome extends Hello {
   readonly proof: string;
 }
 
-/** Who proves; keeps one side's proof from being played back as the other's. */
+/** The side that proves; prevents replaying one side's proof as the other's. */
 type Side = "connecting" | "listening";
 
 const NONCE_BYTES = 24;
 
-/** Makes the opening of one side. */
+/** Creates the hello message of one side. */
 export function newHello(self: PeerId): Hello {
   return {
     ...self,
@@ -36,27 +36,27 @@
   };
 }
 
-/** The proof of `side` over both openings. */
-export function proofOf(
+/** Computes the proof of `side` over both hello messages. */
+export function computeProof(
   token: string,
   parts: { side: Side; connecting: Hello; listening: Hello },
 ): string {
   const { side, connecting, listening } = parts;
   const text = JSON.stringify(
-    [side, ...openingFields(connecting), ...openingFields(listening)],
+    [side, ...helloFields(connecting), ...helloFields(listening)],
   );
   return createHmac("sha256", token).update(text).digest("base64url");
 }
 
-/** Compares in constant time, so that a guess learns nothing from a refusal's delay. */
-export function isSameProof(given: unknown, right: string): boolean {
-  if (typeof given !== "string" || given.length !== right.length) {
+/** Compares in constant time, so that response times reveal nothing about a guess. */
+export function proofsMatch(given: unknown, expected: string): boolean {
+  if (typeof given !== "string" || given.length !== expected.length) {
     return false;
   }
-  return timingSafeEqual(Buffer.from(given), Buffer.from(right));
+  return timingSafeEqual(Buffer.from(given), Buffer.from(expected));
 }
 
-/** Reads the other side's opening; throws {@link PeerProtocolError}. */
+/** Validates the other side's hello message; throws {@link PeerProtocolError}. */
 export function readHello(value: unknown): Hello {
   const hello = value as Partial<Hello> | null;
   if (typeof hello !== "object" || hello === null) {
@@ -72,12 +72,14 @@
   }
   for (const text of [vm, instance, nonce]) {
     if (typeof text !== "string" || text === "" || text.length > 200) {
-      throw new PeerProtocolError("Cannot read a handshake: a name is missing");
+      throw new PeerProtocolError(
+        "Cannot read a handshake: VM, instance and nonce must have 1 to 200 characters",
+      );
     }
   }
   return hello as Hello;
 }
 
-function openingFields(hello: Hello): readonly (string | number)[] {
+function helloFields(hello: Hello): readonly (string | number)[] {
   return [hello.version, hello.vm, hello.instance, hello.nonce];
 }
--- a/packages/daemon/src/peers/line_reader.ts
+++ b/packages/daemon/src/peers/line_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Splits what arrives on a connection into lines, within a bound.
+ * Splits the bytes received on a connection into lines of limited length.
  *
  * @module
  */
@@ -9,18 +9,18 @@
 
 const NEWLINE = 0x0a;
 
-/** Collects the pieces of one line until its end comes. */
+/** Buffers the chunks of an incomplete line. */
 export class LineReader {
-  #pieces: Buffer[] = [];
-  #length = 0;
-  /** Longest line, in bytes; may be raised once the peer is known. */
-  maxLength: number;
+  #chunks: Buffer[] = [];
+  #lineBytes = 0;
+  /** Longest line; may be raised once the peer is authenticated. */
+  maxLineBytes: number;
 
-  constructor(maxLength: number) {
-    this.maxLength = maxLength;
+  constructor(maxLineBytes: number) {
+    this.maxLineBytes = maxLineBytes;
   }
 
-  /** The lines that `chunk` ends. Throws {@link PeerProtocolError} past the bound. */
+  /** Returns the lines that `chunk` completes. Throws {@link PeerProtocolError} if one is too long. */
   read(chunk: Buffer): string[] {
     const lines: string[] = [];
     let start = 0;
@@ -30,24 +30,24 @@
       end = chunk.indexOf(NEWLINE, start)
     ) {
       this.#add(chunk.subarray(start, end));
-      lines.push(Buffer.concat(this.#pieces).toString("utf8"));
-      this.#pieces = [];
-      this.#length = 0;
+      lines.push(Buffer.concat(this.#chunks).toString("utf8"));
+      this.#chunks = [];
+      this.#lineBytes = 0;
       start = end + 1;
     }
     this.#add(chunk.subarray(start));
     return lines;
   }
 
-  #add(piece: Buffer): void {
-    this.#length += piece.length;
-    if (this.#length > this.maxLength) {
+  #add(part: Buffer): void {
+    this.#lineBytes += part.length;
+    if (this.#lineBytes > this.maxLineBytes) {
       throw new PeerProtocolError(
-        `Cannot read a line: over ${this.maxLength} bytes`,
+        `Cannot read a line from the peer: longer than ${this.maxLineBytes} bytes`,
       );
     }
-    if (piece.length > 0) {
-      this.#pieces.push(piece);
+    if (part.length > 0) {
+      this.#chunks.push(part);
     }
   }
 }
--- a/packages/daemon/src/peers/messages.ts
+++ b/packages/daemon/src/peers/messages.ts
@@ -1,6 +1,6 @@
 /**
- * What VMs tell each other. One method of JSON-RPC for each kind; parameters
- * are plain JSON that carries durations, never a time of day.
+ * Messages between VMs, with one JSON-RPC method for each kind. Parameters are
+ * plain JSON with durations, never a time of day, since VMs share no clock.
  *
  * @module
  */
@@ -27,15 +27,15 @@
 /** Version of this protocol; both ends must speak the same. */
 export const PROTOCOL_VERSION = 1;
 
-/** One life of a daemon on a VM. */
+/** One run of the daemon on a VM. */
 export interface PeerId {
   readonly vm: VmId;
   readonly instance: InstanceId;
 }
 
-/** Slots that VMs lend each other. */
+/** Messages with which VMs lend each other slots. */
 export type SlotMessage =
-  /** Asks for slots; 0 withdraws. Replaces the last question on service and region. */
+  /** Requests slots; 0 withdraws. Replaces the last request for this service and region. */
   | {
     readonly kind: "ask";
     readonly service: ServiceId;
@@ -44,13 +44,13 @@
     readonly rank: number;
     readonly rankWaitMs: number;
     readonly waitMs: number;
-    /** Unique over all instances, so that a grant to an earlier life counts for nothing. */
+    /** Id of this request, unique over all instances, so that grants to an earlier run are ignored. */
     readonly question: string;
   }
   /**
-   * Slots for `durationMs` from the grant. It was granted `askAgeMs` after the
-   * question was heard, so that the borrower can place the grant
-   * on its own clock however late this arrives.
+   * Lends slots for `durationMs` from the grant, which was made `askAgeMs` after the
+   * lender received the request. The borrower can thus place the grant on its own
+   * clock however late this message arrives.
    */
   | {
     readonly kind: "lend";
@@ -63,19 +63,19 @@
   }
   | { readonly kind: "give-back"; readonly loan: string };
 
-/** What the planner has to know of each VM. */
+/** What each VM reports to the planner. */
 export interface PlannerReport {
-  /** Highest sequence of a plan that the VM applied. */
+  /** Highest sequence number of a plan that the VM applied. */
   readonly sequence: number;
   readonly demand: readonly {
     readonly service: ServiceId;
     readonly slots: number;
   }[];
-  /** Instances that lent this VM slots which it still holds. */
+  /** Instances whose lent slots this VM still holds. */
   readonly lenders: readonly InstanceId[];
 }
 
-/** A message without an answer. */
+/** A JSON-RPC notification: a message without a response. */
 export type PeerNotice =
   | { readonly method: "membership"; readonly params: MembershipMessage }
   | { readonly method: "configuration"; readonly params: DisseminationMessage }
@@ -84,8 +84,8 @@
   | { readonly method: "term"; readonly params: TermMessage }
   | { readonly method: "planner-report"; readonly params: PlannerReport };
 
-/** Names of the notices. */
-export const NOTICES: readonly PeerNotice["method"][] = [
+/** Methods of all notifications. */
+export const NOTIFICATION_METHODS: readonly PeerNotice["method"][] = [
   "membership",
   "configuration",
   "plan",
@@ -94,35 +94,35 @@
   "planner-report",
 ];
 
-/** What a VM that has just started asks its peers for while the table is away. */
+/** State that a newly started VM requests from its peers while the table is unreachable. */
 export interface Known {
-  /** Absent where the peer knows none either. */
+  /** Absent if the peer knows no configuration either. */
   readonly inForce?: InForce<InForceJson>;
-  /** Age of the peer's knowledge that this is the latest, in milliseconds. */
+  /** Time since the peer last confirmed that this configuration is the latest. */
   readonly ageMs: number;
-  /** The plan that the peer follows; absent where it has none. */
+  /** The plan that the peer applies; absent if it has none. */
   readonly plan?: StoredPlan;
-  /** Instances that lent the peer slots which it still holds. */
+  /** Instances whose lent slots the peer still holds. */
   readonly lenders: readonly InstanceId[];
 }
 
-/** The plan as the table keeps it. */
+/** The plan as stored in the table. */
 export interface StoredPlan {
   readonly plan: Plan;
-  /** Instances that may hold something by it, or still by an earlier plan. */
+  /** Instances that may hold allotments from this plan or an earlier one. */
   readonly holders: readonly Sender[];
   readonly planner: VmId;
   /** Fencing token of the lease under which it was written. */
   readonly token: number;
 }
 
-/** A question about a claim. */
+/** A request to the holder of a claim. */
 export interface ClaimCall {
   readonly question: HolderQuestion;
   readonly waitMs: number;
 }
 
-/** What the daemon does with messages of its peers. */
+/** Handles messages of peers. */
 export interface PeerHandler {
   notice(from: PeerId, notice: PeerNotice): void;
   claim(from: PeerId, call: ClaimCall): Promise<HolderAnswer>;
--- a/packages/daemon/src/peers/peer_network.ts
+++ b/packages/daemon/src/peers/peer_network.ts
@@ -1,7 +1,7 @@
 /**
  * Connections between VMs: the listener for peers and the links to them. A link
- * is opened when there is something to say and kept while it is used, so that
- * no full mesh arises.
+ * is opened when there is a message to send and kept while it is used, which
+ * avoids a full mesh.
  *
  * @module
  */
@@ -16,29 +16,29 @@
 import { Task } from "../task.ts";
 import { Channel, type ChannelListener } from "./channel.ts";
 import {
+  computeProof,
   type Hello,
-  isSameProof,
   newHello,
-  proofOf,
+  proofsMatch,
   readHello,
   type Welcome,
 } from "./handshake.ts";
 import {
   type ClaimCall,
   type Known,
-  NOTICES,
+  NOTIFICATION_METHODS,
   type PeerHandler,
   type PeerId,
   type PeerNotice,
 } from "./messages.ts";
 
-/** A peer and where it listens, `host:port`. */
+/** A peer and the address that it listens on, `host:port`. */
 export interface PeerAddress {
   readonly vm: VmId;
   readonly address: string;
 }
 
-/** Construction of the network. */
+/** Options of {@link PeerNetwork}. */
 export interface PeerNetworkOptions {
   readonly self: PeerId;
   readonly token: string;
@@ -49,7 +49,7 @@
   readonly log: Log;
 }
 
-/** What the network is told. */
+/** Messages to the network. */
 export type PeerNetworkMessage =
   | {
     readonly kind: "send";
@@ -58,31 +58,31 @@
     readonly address: string;
     readonly notice: PeerNotice;
   }
-  /** The VM is gone: its links are closed. */
+  /** Closes the link to a VM that has left or failed. */
   | { readonly kind: "drop"; readonly vm: VmId }
-  /** Closes links that were not used for long. */
+  /** Closes idle links. */
   | { readonly kind: "sweep" };
 
-/** A stranger has this long to prove itself, in milliseconds: three round trips of 110 ms and a pause. */
-const HANDSHAKE_MS = 2_000;
-/** Links are closed after this long without a word; heartbeats come far more often. */
-const IDLE_MS = 60_000;
-const SWEEP_MS = 10_000;
-/** A peer that refused is not called again before this has passed. */
-const RECONNECT_MS = 200;
-/** Notices kept while a link is being opened; beyond, the oldest are dropped. */
-const MAX_WAITING = 256;
-/** Inbound connections at once: each VM of the deployment twice over, and some. */
-const MAX_INBOUND = 4_096;
+/** Time-out of the handshake: three round trips of 110 ms, and some margin for pauses. */
+const HANDSHAKE_TIMEOUT_MS = 2_000;
+/** Links without messages for this long are closed; heartbeats are far more frequent. */
+const IDLE_TIMEOUT_MS = 60_000;
+const SWEEP_INTERVAL_MS = 10_000;
+/** Delay before reconnecting to a peer whose connection failed. */
+const RECONNECT_DELAY_MS = 200;
+/** Notifications queued while a link is being opened; beyond it, the oldest are dropped. */
+const MAX_QUEUED_NOTIFICATIONS = 256;
+/** Concurrent inbound connections: more than two for each VM of the deployment. */
+const MAX_INBOUND_CONNECTIONS = 4_096;
 
 interface Link {
   readonly address: string;
   channel: Channel | undefined;
-  /** Set while the link is down after a failure. */
+  /** After a failure, the time before which the link is not reopened. */
   retryAt: number;
   usedAt: number;
-  waiting: PeerNotice[];
-  /** Settles when the handshake is through; rejects when it failed. */
+  queued: PeerNotice[];
+  /** Resolves when the handshake completes; rejects if it fails. */
   opening: Promise<Channel> | undefined;
 }
 
@@ -98,38 +98,42 @@
     this.#options = options;
   }
 
-  /** Port that it listens on. */
+  /** Port that it listens on; 0 while it does not listen. */
   get port(): number {
     const address = this.#server?.address();
     return typeof address === "object" && address !== null ? address.port : 0;
   }
 
-  /** Asks the holder of a claim; never rejects. */
+  /** Queries the holder of a claim; never rejects. */
   async askHolder(peer: PeerAddress, call: ClaimCall): Promise<HolderAnswer> {
-    const timeoutMs = call.waitMs + HANDSHAKE_MS;
-    const answer = await this.#call(peer, { method: "claim", call, timeoutMs });
-    return (answer ?? { kind: "unreachable" }) as HolderAnswer;
+    const timeoutMs = call.waitMs + HANDSHAKE_TIMEOUT_MS;
+    const response = await this.#call(peer, {
+      method: "claim",
+      call,
+      timeoutMs,
+    });
+    return (response ?? { kind: "unreachable" }) as HolderAnswer;
   }
 
-  /** Asks what a peer knows to be in force; undefined where it does not answer. */
+  /** Queries which configuration a peer knows to be in force; undefined without a response. */
   async askKnown(
     peer: PeerAddress,
   ): Promise<Known | undefined> {
-    const answer = await this.#call(peer, {
+    const response = await this.#call(peer, {
       method: "known",
       call: {},
-      timeoutMs: HANDSHAKE_MS,
+      timeoutMs: HANDSHAKE_TIMEOUT_MS,
     });
-    return answer as Known | undefined;
+    return response as Known | undefined;
   }
 
   protected override async open(): Promise<void> {
     const { host, port } = this.#options;
     const server = createServer((socket) => this.#accept(socket));
-    server.maxConnections = MAX_INBOUND;
+    server.maxConnections = MAX_INBOUND_CONNECTIONS;
     this.#server = server;
     await listen(server, { host, port }, (err) => this.fail(err));
-    this.sendEvery(SWEEP_MS, { kind: "sweep" });
+    this.sendEvery(SWEEP_INTERVAL_MS, { kind: "sweep" });
   }
 
   protected override receive(message: PeerNetworkMessage): void {
@@ -178,33 +182,37 @@
     }
   }
 
-  #send(vm: VmId, address: string, notice: PeerNotice): void {
+  #send(vm: VmId, address: string, notification: PeerNotice): void {
     const link = this.#link(vm, address);
     const now = performance.now();
     link.usedAt = now;
     if (link.channel !== undefined) {
-      this.#notify(link.channel, notice);
+      this.#notify(link.channel, notification);
       return;
     }
     if (now < link.retryAt) {
       return;
     }
-    link.waiting.push(notice);
-    if (link.waiting.length > MAX_WAITING) {
-      link.waiting.shift();
+    link.queued.push(notification);
+    if (link.queued.length > MAX_QUEUED_NOTIFICATIONS) {
+      link.queued.shift();
     }
     this.#open(vm, address).catch(() => undefined);
   }
 
-  #notify(channel: Channel, notice: PeerNotice): void {
+  #notify(channel: Channel, notification: PeerNotice): void {
     if (channel.congested) {
       return;
     }
-    this.#count("sent", notice.method);
-    channel.rpc.client.notify(notice.method, notice.params, undefined);
+    this.#count("sent", notification.method);
+    channel.rpc.client.notify(
+      notification.method,
+      notification.params,
+      undefined,
+    );
   }
 
-  /** The link to a VM; a VM that came back under another address gets a new one. */
+  /** Returns the link to a VM; replaces it if the VM has a new address. */
   #link(vm: VmId, address: string): Link {
     const known = this.#links.get(vm);
     if (known?.address === address) {
@@ -216,7 +224,7 @@
       channel: undefined,
       retryAt: 0,
       usedAt: performance.now(),
-      waiting: [],
+      queued: [],
       opening: undefined,
     };
     this.#links.set(vm, link);
@@ -230,11 +238,13 @@
     }
     link.opening ??= this.#connect(vm, link).then((channel) => {
       link.channel = channel;
-      link.waiting.splice(0).forEach((notice) => this.#notify(channel, notice));
+      link.queued.splice(0).forEach((notification) =>
+        this.#notify(channel, notification)
+      );
       return channel;
     }, (err) => {
-      link.retryAt = performance.now() + RECONNECT_MS;
-      link.waiting = [];
+      link.retryAt = performance.now() + RECONNECT_DELAY_MS;
+      link.queued = [];
       throw err;
     }).finally(() => {
       link.opening = undefined;
@@ -243,11 +253,11 @@
   }
 
   async #connect(vm: VmId, link: Link): Promise<Channel> {
-    const at = link.address.lastIndexOf(":");
+    const colon = link.address.lastIndexOf(":");
     const { host } = this.#options;
     const socket = connect({
-      host: link.address.slice(0, at),
-      port: Number(link.address.slice(at + 1)),
+      host: link.address.slice(0, colon),
+      port: Number(link.address.slice(colon + 1)),
       ...(isAnyAddress(host) ? {} : { localAddress: host }),
     });
     const channel = new Channel(
@@ -255,19 +265,24 @@
       this.#listener((err) => {
         if (link.channel === channel) {
           link.channel = undefined;
-          link.retryAt = performance.now() + RECONNECT_MS;
+          link.retryAt = performance.now() + RECONNECT_DELAY_MS;
         }
         this.#logClosed(vm, err);
       }),
     );
     const timer = setTimeout(
-      () => channel.close(new PeerProtocolError("Cannot shake hands in time")),
-      HANDSHAKE_MS,
+      () =>
+        channel.close(
+          new PeerProtocolError(
+            "Cannot complete the handshake within the time-out",
+          ),
+        ),
+      HANDSHAKE_TIMEOUT_MS,
     );
     try {
-      await this.#introduce(channel);
+      await this.#authenticate(channel);
       this.#serve(channel, { vm, instance: "" as PeerId["instance"] });
-      channel.trust();
+      channel.markAuthenticated();
       return channel;
     } catch (err) {
       channel.close(err as Error);
@@ -277,8 +292,8 @@
     }
   }
 
-  /** The connecting side of the handshake. */
-  async #introduce(channel: Channel): Promise<void> {
+  /** Runs the connecting side of the handshake. */
+  async #authenticate(channel: Channel): Promise<void> {
     const { self, token } = this.#options;
     const connecting = newHello(self);
     const welcome = await channel.rpc.request(
@@ -287,11 +302,15 @@
       undefined,
     ) as Welcome;
     const listening = readHello(welcome);
-    const right = proofOf(token, { side: "listening", connecting, listening });
-    if (!isSameProof(welcome.proof, right)) {
-      throw new PeerProtocolError("Cannot trust the peer: wrong proof");
+    const expected = computeProof(token, {
+      side: "listening",
+      connecting,
+      listening,
+    });
+    if (!proofsMatch(welcome.proof, expected)) {
+      throw new PeerProtocolError("Cannot authenticate the peer: wrong proof");
     }
-    const proof = proofOf(token, {
+    const proof = computeProof(token, {
       side: "connecting",
       connecting,
       listening,
@@ -299,7 +318,7 @@
     await channel.rpc.request("prove", { proof }, undefined);
   }
 
-  /** The listening side of the handshake. */
+  /** Accepts a connection and runs the listening side of the handshake. */
   #accept(socket: Socket): void {
     const { self, token } = this.#options;
     let connecting: Hello | undefined;
@@ -311,57 +330,64 @@
         clearTimeout(timer);
         this.#inbound.delete(channel);
         if (peer === undefined) {
-          this.#refused(err);
+          this.#countRefused(err);
         } else {
           this.#logClosed(peer.vm, err);
         }
       }),
     );
     const timer = setTimeout(
-      () => channel.close(new PeerProtocolError("Cannot wait any longer")),
-      HANDSHAKE_MS,
+      () =>
+        channel.close(
+          new PeerProtocolError(
+            "Cannot accept the peer: no proof within the handshake time-out",
+          ),
+        ),
+      HANDSHAKE_TIMEOUT_MS,
     );
     this.#inbound.add(channel);
     channel.rpc.addMethod("hello", (params: unknown): Welcome => {
       try {
         connecting = readHello(params);
       } catch (err) {
-        channel.finish(err as Error);
+        channel.closeAfterResponse(err as Error);
         throw err;
       }
       listening = newHello(self);
       const parts = { side: "listening", connecting, listening } as const;
-      return { ...listening, proof: proofOf(token, parts) };
+      return { ...listening, proof: computeProof(token, parts) };
     });
     channel.rpc.addMethod("prove", (params: unknown) => {
       const proof = (params as { proof?: unknown } | undefined)?.proof;
-      const right = connecting !== undefined && listening !== undefined
-        ? proofOf(token, { side: "connecting", connecting, listening })
+      const expected = connecting !== undefined && listening !== undefined
+        ? computeProof(token, { side: "connecting", connecting, listening })
         : undefined;
-      if (right === undefined || !isSameProof(proof, right)) {
-        const err = new PeerProtocolError("Cannot trust the peer: wrong proof");
-        channel.finish(err);
+      if (expected === undefined || !proofsMatch(proof, expected)) {
+        const err = new PeerProtocolError(
+          "Cannot authenticate the peer: wrong proof",
+        );
+        channel.closeAfterResponse(err);
         throw err;
       }
       clearTimeout(timer);
       peer = { vm: connecting!.vm, instance: connecting!.instance };
       this.#serve(channel, peer);
-      channel.trust();
+      channel.markAuthenticated();
       return true;
     });
   }
 
-  /** Takes messages of a peer that has proved itself. */
+  /** Handles messages of an authenticated peer. */
   #serve(channel: Channel, peer: PeerId): void {
     const { handler, log } = this.#options;
-    for (const method of NOTICES) {
+    for (const method of NOTIFICATION_METHODS) {
       channel.rpc.addMethod(method, (params: unknown) => {
         this.#count("received", method);
         try {
           handler.notice(peer, { method, params } as PeerNotice);
         } catch (err) {
-          // A peer of another build may say what this one can't read. That must
-          // not take a task down which serves all other peers.
+          // A peer of another build may send a message that this one cannot read.
+          // That must not stop the task, which serves all other peers.
           log.warn("peer message not understood", {
             peer: peer.vm,
             reason: messageOf(err),
@@ -392,7 +418,7 @@
 
   #sweep(now: number): void {
     for (const [vm, link] of this.#links) {
-      if (now - link.usedAt > IDLE_MS) {
+      if (now - link.usedAt > IDLE_TIMEOUT_MS) {
         link.channel?.close();
         this.#links.delete(vm);
       }
@@ -403,7 +429,7 @@
     this.#options.metrics.peerMessages.inc({ direction, method });
   }
 
-  #refused(err: Error | undefined): void {
+  #countRefused(err: Error | undefined): void {
     const { metrics, log } = this.#options;
     const reason = err instanceof PeerProtocolError ? "handshake" : "closed";
     metrics.refusedInput.inc({ listener: "peer", reason });
--- a/packages/daemon/src/peers/peer_network_test.ts
+++ b/packages/daemon/src/peers/peer_network_test.ts
@@ -8,7 +8,7 @@
 import type { InstanceId, VmId } from "@poplarthread/ids";
 import { SILENT_LOG } from "../silent_log.ts";
 import { Metrics } from "../metrics.ts";
-import { newHello, proofOf } from "./handshake.ts";
+import { computeProof, newHello } from "./handshake.ts";
 import type { PeerId, PeerNotice } from "./messages.ts";
 import { PeerNetwork } from "./peer_network.ts";
 
@@ -18,10 +18,10 @@
   },
 };
 
-/** One VM's network, and what it heard. */
+/** One VM's network, and the notifications that it received. */
 interface TestPeer {
   readonly network: PeerNetwork;
-  readonly heard: string[];
+  readonly received: string[];
   readonly metrics: Metrics;
   readonly address: string;
 }
@@ -29,7 +29,7 @@
 const peers: TestPeer[] = [];
 
 async function start(vm: string, token = "shared-token"): Promise<TestPeer> {
-  const heard: string[] = [];
+  const received: string[] = [];
   const metrics = new Metrics();
   const network = new PeerNetwork({
     self: idOf(vm),
@@ -37,7 +37,7 @@
     host: "127.0.0.1",
     port: 0,
     handler: {
-      notice: (from, { method }) => heard.push(`${method} of ${from.vm}`),
+      notice: (from, { method }) => received.push(`${method} of ${from.vm}`),
       claim: () => Promise.resolve({ kind: "free" }),
       known: () => ({ ageMs: 0, lenders: [] }),
     },
@@ -46,7 +46,7 @@
   });
   await network.start(parent);
   const address = `127.0.0.1:${network.port}`;
-  const peer = { network, heard, metrics, address };
+  const peer = { network, received, metrics, address };
   peers.push(peer);
   return peer;
 }
@@ -55,7 +55,7 @@
   return { vm: vm as VmId, instance: `${vm}.1` as InstanceId };
 }
 
-function say(from: TestPeer, to: TestPeer): void {
+function sendNotification(from: TestPeer, to: TestPeer): void {
   const notice: PeerNotice = {
     method: "slots",
     params: { kind: "give-back", loan: "l" },
@@ -69,84 +69,86 @@
   return values.reduce((sum, { value }) => sum + value, 0);
 }
 
-/** Writes lines as a stranger and reads the answers, one for each line. */
-async function converse(
+/** Writes lines as an unauthenticated peer and reads one response for each. */
+async function exchangeLines(
   socket: Socket,
   lines: readonly unknown[],
 ): Promise<unknown[]> {
-  const answers: unknown[] = [];
+  const responses: unknown[] = [];
   const reader = createInterface({ input: socket });
   for (const line of lines) {
     socket.write(`${JSON.stringify(line)}\n`);
-    const [answer] = await once(reader, "line");
-    answers.push(JSON.parse(answer as string));
+    const [response] = await once(reader, "line");
+    responses.push(JSON.parse(response as string));
   }
-  return answers;
+  return responses;
 }
 
 afterEach(async () => {
   await Promise.all(peers.splice(0).map(({ network }) => network.stop()));
 });
 
-test("peers with the same token talk, and a link that broke comes back", async () => {
-  // A VM's daemon is replaced. Its peers' links to it break, and must come
-  // back by themselves, or the new daemon would hear of nothing.
+test("peers with the same token exchange messages, and a closed link is reopened", async () => {
+  // When a VM's daemon is replaced, its peers' links to it break. Unless they are
+  // reopened automatically, the new daemon receives no messages.
   const a = await start("a");
   const b = await start("b");
-  say(a, b);
-  await expect.poll(() => b.heard).toEqual(["slots of a"]);
+  sendNotification(a, b);
+  await expect.poll(() => b.received).toEqual(["slots of a"]);
   const peer = { vm: "b" as VmId, address: b.address };
   const call = { question: {} as never, waitMs: 1_000 };
   expect(await a.network.askHolder(peer, call)).toEqual({ kind: "free" });
   a.network.send({ kind: "drop", vm: "b" as VmId });
-  say(a, b);
-  await expect.poll(() => b.heard).toHaveLength(2);
+  sendNotification(a, b);
+  await expect.poll(() => b.received).toHaveLength(2);
 });
 
-test("a peer with another token or version is refused and counted", async () => {
-  // A VM is set up with an old token, or runs a build that speaks otherwise.
-  // Heard all the same, it could hand out slots that are not its own.
+test("a peer with a different token or protocol version is refused and counted", async () => {
+  // A VM has an old token, or runs a build with another protocol version. If its
+  // messages were accepted, it could lend slots that it does not own.
   const a = await start("a", "another-token");
   const b = await start("b");
-  say(a, b);
+  sendNotification(a, b);
   await expect.poll(() => refusals(b)).toBe(1);
   const socket = connect(b.network.port, "127.0.0.1");
   const old = { ...newHello(idOf("c")), version: 0 };
-  const [answer] = await converse(socket, [
+  const [response] = await exchangeLines(socket, [
     { jsonrpc: "2.0", id: 1, method: "hello", params: old },
   ]);
-  expect(answer).toMatchObject({
+  expect(response).toMatchObject({
     error: { message: "Cannot speak protocol version 0: this is 1" },
   });
   await expect.poll(() => refusals(b)).toBe(2);
-  expect(b.heard).toEqual([]);
+  expect(b.received).toEqual([]);
 });
 
 test("a recorded proof does not open a second connection", async () => {
-  // Somebody records a handshake on the network and plays it back later. The
-  // token would be worth nothing if that were enough to be taken for a VM.
+  // An attacker records a handshake on the network and replays it later. That
+  // must not be enough to authenticate as a VM.
   const b = await start("b");
   const hello = newHello(idOf("a"));
   const request = { jsonrpc: "2.0", id: 1, method: "hello", params: hello };
   const first = connect(b.network.port, "127.0.0.1");
-  const [welcome] = await converse(first, [request]) as [{ result: never }];
-  const proof = proofOf("shared-token", {
+  const [welcome] = await exchangeLines(first, [request]) as [
+    { result: never },
+  ];
+  const proof = computeProof("shared-token", {
     side: "connecting",
     connecting: hello,
     listening: welcome.result,
   });
   const prove = { jsonrpc: "2.0", id: 2, method: "prove", params: { proof } };
   const second = connect(b.network.port, "127.0.0.1");
-  const [, replayed] = await converse(second, [request, prove]);
+  const [, replayed] = await exchangeLines(second, [request, prove]);
   expect(replayed).toMatchObject({ error: { code: expect.any(Number) } });
-  const [accepted] = await converse(first, [prove]);
+  const [accepted] = await exchangeLines(first, [prove]);
   expect(accepted).toMatchObject({ result: true });
   first.destroy();
 });
 
-test("nothing that a stranger sends takes the peers' listener down", async () => {
-  // The port is open to whatever runs in the network: scanners, other
-  // protocols, a peer of a broken build.
+test("arbitrary input without a handshake does not stop the peers' listener", async () => {
+  // Anything in the network can connect to the port: scanners, clients of other
+  // protocols, peers of a broken build.
   const a = await start("a");
   const b = await start("b");
   const message = fc.record({
@@ -170,7 +172,7 @@
     }),
     { seed: 7, numRuns: 100 },
   );
-  expect(b.heard).toEqual([]);
-  say(a, b);
-  await expect.poll(() => b.heard).toEqual(["slots of a"]);
+  expect(b.received).toEqual([]);
+  sendNotification(a, b);
+  await expect.poll(() => b.received).toEqual(["slots of a"]);
 });
