--- a/packages/daemon/src/http/caller_listener.ts
+++ b/packages/daemon/src/http/caller_listener.ts
@@ -299,7 +299,7 @@
     res.exchange = exchange;
     res.on("close", onClose);
     exchange.start();
-    if (exchange.receiving) {
+    if (exchange.isReceiving) {
       this.#receiving.add(exchange);
     }
   }
@@ -311,7 +311,7 @@
   #sweep(now: number): void {
     const { bodyIdleTimeoutMs } = this.#options.settings.limits;
     for (const exchange of this.#receiving) {
-      if (!exchange.receiving) {
+      if (!exchange.isReceiving) {
         this.#receiving.delete(exchange);
         continue;
       }
--- a/packages/daemon/src/http/exchange.ts
+++ b/packages/daemon/src/http/exchange.ts
@@ -149,7 +149,7 @@
   }
 
   /** Whether the request may run at most once and carries an idempotency key. */
-  get keyed(): boolean {
+  get isKeyed(): boolean {
     return this.head.key !== undefined &&
       this.route.route.repeat === "at-most-once";
   }
@@ -165,7 +165,7 @@
   }
 
   /** Whether the body is still being received. */
-  get receiving(): boolean {
+  get isReceiving(): boolean {
     return this.#body !== undefined && !this.#body.complete;
   }
 
@@ -201,7 +201,7 @@
       });
       return;
     }
-    if (this.keyed) {
+    if (this.isKeyed) {
       this.#startClaim();
       return;
     }
@@ -304,8 +304,8 @@
       sendRefusal(this.#res, {
         reason,
         outcome: this.#mayHaveRun ? "unknown" : "not-run",
-        earlierUnknown: this.keyed && this.#claim === undefined,
-        closesConnection: this.receiving,
+        earlierUnknown: this.isKeyed && this.#claim === undefined,
+        closesConnection: this.isReceiving,
         ...details,
       }, this.id);
     }
@@ -566,7 +566,7 @@
     for (const attempt of this.#attempts) {
       attempt.cancel();
     }
-    if (this.receiving) {
+    if (this.isReceiving) {
       this.#body!.destroy();
     }
     this.#services.ended(this, end);
--- a/packages/daemon/src/peers/messages.ts
+++ b/packages/daemon/src/peers/messages.ts
@@ -124,7 +124,7 @@
 
 /** Handles messages of peers. */
 export interface PeerHandler {
-  notice(from: PeerId, notice: PeerNotice): void;
+  notice(from: PeerId, notification: PeerNotice): void;
   claim(from: PeerId, call: ClaimCall): Promise<HolderAnswer>;
   known(): Known;
 }
