--- a/packages/daemon/src/backend.ts
+++ b/packages/daemon/src/backend.ts
@@ -1,5 +1,5 @@
 /**
- * What operators see and do, answered from the tasks of this VM.
+ * Serves operators' requests from the tasks of this VM.
  *
  * @module
  */
@@ -37,7 +37,7 @@
 import type { SteeringTask } from "./steering_task.ts";
 import type { Supervisor } from "./supervisor.ts";
 
-/** What the backend answers from. */
+/** Parts of the daemon that the backend uses. */
 export interface BackendParts {
   readonly settings: Settings;
   readonly instance: InstanceId;
@@ -56,7 +56,7 @@
   readonly isLeaving: () => boolean;
 }
 
-/** See {@link OperatorBackend}. */
+/** Implements {@link OperatorBackend} for this VM. */
 export class Backend implements OperatorBackend {
   readonly #parts: BackendParts;
 
@@ -93,11 +93,11 @@
   }
 
   async accept(change: OperatorChange): Promise<ChangeResponse> {
-    const answer = await this.#parts.admin.accept(change);
-    if (answer.kind === "accepted") {
+    const response = await this.#parts.admin.accept(change);
+    if (response.kind === "accepted") {
       this.#parts.configuration.send({ kind: "accepted" });
     }
-    return answer;
+    return response;
   }
 
   audit(range: AuditRange): Promise<readonly AuditEntry[]> {
@@ -117,7 +117,7 @@
   }
 
   lookup(clientZone?: ZoneId): LookupResponse {
-    return this.#parts.lookups.answer(clientZone);
+    return this.#parts.lookups.response(clientZone);
   }
 
   explain(request: ExplainRequest): Explanation {
@@ -132,19 +132,19 @@
 
   #vms(now: number): readonly VmStatus[] {
     const { fleet, revisions, settings } = this.#parts;
-    const own = this.configuration()?.revision;
+    const localRevision = this.configuration()?.revision;
     return fleet.view.vms.map((vm) => {
       const isSelf = vm.id === settings.vm;
       const confirmed = revisions.of(vm.id);
-      const revision = isSelf ? own : confirmed?.revision;
-      const heardAt = isSelf ? now : confirmed?.at ?? fleet.listedAt;
+      const revision = isSelf ? localRevision : confirmed?.revision;
+      const confirmedAt = isSelf ? now : confirmed?.at ?? fleet.listedAt;
       return {
         vm: vm.id,
         region: vm.region,
         zone: vm.zone,
-        state: vm.belief,
+        state: vm.effectiveState,
         ...(revision === undefined ? {} : { revision }),
-        ageMs: Math.round(now - heardAt),
+        ageMs: Math.round(now - confirmedAt),
       };
     });
   }
@@ -190,10 +190,10 @@
   view: SteeringView | undefined,
 ): TargetStatus {
   const { id, service, region, zone, address } = target;
-  const place = { target: id, service, region, zone, address };
+  const location = { target: id, service, region, zone, address };
   if (view === undefined) {
     return {
-      ...place,
+      ...location,
       state: "out",
       why: "its service is not in the preset in force",
       inFlight: 0,
@@ -201,11 +201,11 @@
     };
   }
   const slots = view.owned + view.borrowed - view.lent;
-  const { state, why } = standingOf(view, target.leaving);
-  return { ...place, state, why, inFlight: view.inUse, slots };
+  const { state, why } = stateOf(view, target.leaving);
+  return { ...location, state, why, inFlight: view.inUse, slots };
 }
 
-function standingOf(
+function stateOf(
   view: SteeringView,
   leaving: boolean,
 ): Pick<TargetStatus, "state" | "why"> {
@@ -215,9 +215,12 @@
   if (view.standing === "drained") {
     return { state: "out", why: "it is drained by an operator" };
   }
-  const ratio = `answers take ${view.ratio.toFixed(1)} times the usual`;
+  const ratio = `response time ${view.ratio.toFixed(1)} times the usual`;
   if (view.standing === "failing") {
-    return { state: "out", why: "attempts and reports say that it fails" };
+    return {
+      state: "out",
+      why: "it is failing according to attempts and reports",
+    };
   }
   return { state: "in", why: `${view.standing}; ${ratio}` };
 }
--- a/packages/daemon/src/claim_sweep_task.ts
+++ b/packages/daemon/src/claim_sweep_task.ts
@@ -1,6 +1,6 @@
 /**
- * Deletes claims that have outlived their day, on one VM at a time: whichever
- * holds the planner's lease.
+ * Deletes claims that have outlived their lifetime of a day. Only the VM that holds
+ * the planner's lease does so.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 } from "@poplarthread/coordination";
 import { Task } from "./task.ts";
 
-/** Owns the sweep. It hears nothing. */
+/** Runs the sweep; receives no messages. */
 export class ClaimSweepTask extends Task<never> {
   readonly #sweep: ClaimSweep;
 
--- a/packages/daemon/src/configuration_admin.ts
+++ b/packages/daemon/src/configuration_admin.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' changes and questions about presets, against the table.
+ * Reads and changes presets and drains in the table on behalf of operators.
  *
  * @module
  */
@@ -46,14 +46,14 @@
 } from "./in_force_value.ts";
 import type { OperatorChange } from "./operator_backend.ts";
 
-/** A table that is back answers at once; two seconds keep retries few. */
+/** A restored table responds at once; 2 s keep the number of retries low. */
 const RETRY_AFTER_MS = 2_000;
-/** Far more presets or versions than people can tell apart. */
+/** Well above the number of presets or versions that operators keep. */
 const MAX_ROWS = 1_000;
 
-/** Rows that a change starts from, read in one call so that they belong together. */
-interface Base extends ChangeBase {
-  /** The outcome of this very operation, where an earlier try was accepted. */
+/** Rows that a change is based on, read in one call so that they are consistent. */
+interface CurrentState extends ChangeBase {
+  /** The stored outcome of this operation, if an earlier attempt was accepted. */
   readonly operation: OperationRow | undefined;
 }
 
@@ -67,13 +67,13 @@
     this.#store = new ConfigurationStore(table);
   }
 
-  /** Accepts a change or says why not; never throws for a table out of reach. */
+  /** Accepts a change or returns why not; does not throw if the table is unreachable. */
   async accept(request: OperatorChange): Promise<ChangeResponse> {
     try {
       return await this.#accept(request);
     } catch (err) {
       if (err instanceof TableError) {
-        // Only reads come before the store takes over, so nothing was written.
+        // Only reads can throw here: the store reports errors of its writes as outcomes.
         return unavailable();
       }
       throw err;
@@ -96,7 +96,7 @@
     return entries.map(toAuditEntry).reverse();
   }
 
-  /** Every preset at its latest version. Throws TableError. */
+  /** The latest version of every preset. Throws TableError. */
   async presets(): Promise<readonly PresetSummary[]> {
     const rows = await this.#table.scan(LATEST_PREFIX, { limit: MAX_ROWS });
     const inForce = await this.#store.read();
@@ -111,7 +111,7 @@
     });
   }
 
-  /** One version of a preset, by default the latest. Throws TableError. */
+  /** A version of a preset, by default the latest. Throws TableError. */
   async preset(
     id: PresetId,
     version?: number,
@@ -138,15 +138,15 @@
 
   async #accept(request: OperatorChange): Promise<ChangeResponse> {
     const { change, seenRevision, operation: operationId } = request;
-    const base = await this.#readBase(request);
-    if (base.operation !== undefined) {
-      return await this.#earlierOutcome(base.operation, change);
+    const current = await this.#readCurrentState(request);
+    if (current.operation !== undefined) {
+      return await this.#earlierOutcome(current.operation, change);
     }
-    const revision = base.inForce?.revision ?? 0;
+    const revision = current.inForce?.revision ?? 0;
     if (revision !== seenRevision) {
       return await this.#conflict(seenRevision, revision);
     }
-    const result = applyChange(base, change);
+    const result = applyChange(current, change);
     if (result.kind === "refused") {
       return { kind: "refused", reason: result.reason, findings: [] };
     }
@@ -157,10 +157,12 @@
       { value, rows },
       { seenRevision, operationId, who, why },
     );
-    return toAnswer(outcome);
+    return toResponse(outcome);
   }
 
-  async #readBase({ operation, change }: OperatorChange): Promise<Base> {
+  async #readCurrentState(
+    { operation, change }: OperatorChange,
+  ): Promise<CurrentState> {
     const preset = presetIdOf(change);
     const keys = [IN_FORCE_KEY, operationKey(operation)];
     if (preset !== undefined) {
@@ -176,9 +178,9 @@
   }
 
   /**
-   * A retry after a lost answer: its first try moved the revision on, so what
-   * it asked for can't be worked out again from what is in force now. The audit
-   * entry of the first try tells whether it was the same change.
+   * A retry after a lost response. The first attempt has raised the revision, so
+   * the requested change cannot be derived again from the configuration in force.
+   * The audit entry of the first attempt shows whether it was the same change.
    */
   async #earlierOutcome(
     { revision }: OperationRow,
@@ -236,7 +238,7 @@
   return configurationOf({ revision, operationId, value });
 }
 
-function toAnswer(outcome: AcceptOutcome<InForceJson>): ChangeResponse {
+function toResponse(outcome: AcceptOutcome<InForceJson>): ChangeResponse {
   switch (outcome.kind) {
     case "accepted":
       return outcome;
@@ -256,7 +258,7 @@
       return {
         kind: "unknown",
         reason:
-          "the table's answer was lost; ask again with the same operation id",
+          "the table's response was lost; retry with the same operation id",
         retryAfterMs: RETRY_AFTER_MS,
       };
   }
@@ -265,7 +267,7 @@
 function unavailable(): ChangeResponse {
   return {
     kind: "unavailable",
-    reason: "the table is out of reach; nothing was written",
+    reason: "the table is unreachable; nothing was written",
     retryAfterMs: RETRY_AFTER_MS,
   };
 }
--- a/packages/daemon/src/configuration_admin_test.ts
+++ b/packages/daemon/src/configuration_admin_test.ts
@@ -9,15 +9,15 @@
 import { id, type OperationId, type PresetId } from "@poplarthread/ids";
 import { ConfigurationAdmin } from "./configuration_admin.ts";
 
-/** Loses the answers of as many transactions as it is told, after the write. */
+/** Loses the responses of the next `responsesToLose` transactions, after the write. */
 class LossyTable extends MemoryTable {
-  answersToLose = 0;
+  responsesToLose = 0;
 
   override async transact(transaction: Transaction) {
     const result = await super.transact(transaction);
-    if (this.answersToLose > 0) {
-      this.answersToLose -= 1;
-      throw new TableError("Cannot call the table: no answer", "unknown");
+    if (this.responsesToLose > 0) {
+      this.responsesToLose -= 1;
+      throw new TableError("Cannot call the table: no response", "unknown");
     }
     return result;
   }
@@ -35,7 +35,7 @@
 const admin = new ConfigurationAdmin(table);
 let operations = 0;
 
-function ask(seenRevision: number, change: Change, operation?: string) {
+function accept(seenRevision: number, change: Change, operation?: string) {
   operations += 1;
   return admin.accept({
     operation: id<OperationId>(operation ?? `operation-${operations}`),
@@ -56,13 +56,13 @@
 test("presets are written, switched and listed, each step in the audit trail", async () => {
   const ordinary = preset("ordinary");
   const peak = preset("peak");
-  await ask(0, { kind: "edit", preset: ordinary });
-  await ask(1, { kind: "edit", preset: peak });
-  expect(await ask(2, { kind: "switch", preset: peak.id })).toEqual({
+  await accept(0, { kind: "edit", preset: ordinary });
+  await accept(1, { kind: "edit", preset: peak });
+  expect(await accept(2, { kind: "switch", preset: peak.id })).toEqual({
     kind: "accepted",
     revision: 3,
   });
-  await ask(3, { kind: "edit", preset: { ...peak, about: "edited" } });
+  await accept(3, { kind: "edit", preset: { ...peak, about: "edited" } });
   expect(
     (await admin.presets()).map((
       { id, version, inForce },
@@ -99,15 +99,15 @@
   expect(await admin.presetHistory(peak.id)).toHaveLength(2);
 });
 
-// Two operators look at the same revision and both act. The one who comes
-// second learns who won and with what, and nothing of theirs is written.
-test("the loser of a race is told what won", async () => {
+// Two operators change the same revision. The second one gets the name and change of
+// the first, and none of its own change is written.
+test("the second of two conflicting changes gets the first one in its response", async () => {
   const drain = {
     kind: "drain",
     subject: { kind: "zone", id: "kosice-1" },
   } as const;
-  expect(await ask(4, drain)).toEqual({ kind: "accepted", revision: 5 });
-  const lost = await ask(4, {
+  expect(await accept(4, drain)).toEqual({ kind: "accepted", revision: 5 });
+  const lost = await accept(4, {
     kind: "switch",
     preset: id<PresetId>("ordinary"),
   });
@@ -119,23 +119,23 @@
   expect((await admin.audit({ limit: 1 }))[0]!.revision).toBe(5);
 });
 
-// The table takes the write but its answer is lost. An operator who asks again
-// must learn that the change was accepted, not that somebody else was faster.
-test("a change whose answer was lost is found accepted, also by a later retry", async () => {
+// The table commits the write but its response is lost. A retry must return that the
+// change was accepted, not a conflict.
+test("a change whose response was lost is reported as accepted, also to a later retry", async () => {
   const undrain = {
     kind: "undrain",
     subject: { kind: "zone", id: "kosice-1" },
   } as const;
-  table.answersToLose = 1;
-  const answer = ask(5, undrain, "operation-lost");
+  table.responsesToLose = 1;
+  const response = accept(5, undrain, "operation-lost");
   await vi.advanceTimersByTimeAsync(2_000);
-  expect(await answer).toEqual({ kind: "accepted", revision: 6 });
-  expect(await ask(5, undrain, "operation-lost")).toEqual({
+  expect(await response).toEqual({ kind: "accepted", revision: 6 });
+  expect(await accept(5, undrain, "operation-lost")).toEqual({
     kind: "accepted",
     revision: 6,
   });
   expect(
-    await ask(
+    await accept(
       6,
       { kind: "switch", preset: id<PresetId>("ordinary") },
       "operation-lost",
@@ -144,15 +144,15 @@
     .toMatchObject({ kind: "refused" });
 });
 
-// The table is down while an operator acts. They hear at once that nothing was
-// written and when to come back.
-test("a table out of reach is said, with nothing written", async () => {
+// The table is down when an operator sends a change. The response comes at once and
+// says that nothing was written and when to retry.
+test("an unreachable table is reported, with nothing written", async () => {
   vi.spyOn(table, "read").mockRejectedValue(new TableError("down", "unknown"));
-  const answer = await ask(6, {
+  const response = await accept(6, {
     kind: "switch",
     preset: id<PresetId>("ordinary"),
   });
   vi.restoreAllMocks();
-  expect(answer).toMatchObject({ kind: "unavailable", retryAfterMs: 2_000 });
+  expect(response).toMatchObject({ kind: "unavailable", retryAfterMs: 2_000 });
   expect((await admin.audit({ limit: 1 }))[0]!.revision).toBe(6);
 });
--- a/packages/daemon/src/configuration_task.ts
+++ b/packages/daemon/src/configuration_task.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the configuration: reads the table where this VM is a reader, takes
- * what peers push, and pushes on.
+ * Follows the configuration in force: reads the table if this VM is a reader,
+ * accepts pushes of peers, and forwards them.
  *
  * @module
  */
@@ -22,46 +22,46 @@
 import type { Known, PeerId } from "./peers/messages.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type ConfigurationMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: DisseminationMessage }
   | { readonly kind: "members"; readonly members: readonly Ranked[] }
-  /** A heartbeat named a higher revision. */
+  /** A heartbeat carried a higher revision. */
   | { readonly kind: "ahead"; readonly vm: VmId; readonly revision: number }
-  /** This VM accepted a change itself: no need to wait for the next poll. */
+  /** This VM accepted a change itself: polls the table at once. */
   | { readonly kind: "accepted" };
 
-/** Construction of the task. */
+/** Options of {@link ConfigurationTask}. */
 export interface ConfigurationTaskOptions {
   readonly self: PeerId & { readonly zone: ZoneId };
   readonly store: ConfigurationStore<InForceJson>;
   readonly send: (to: VmId, message: DisseminationMessage) => void;
-  /** Asks some peers what is in force; those that answer know something. */
-  readonly askPeers: () => Promise<readonly Known[]>;
+  /** Queries some peers for the configuration in force; yields the responses received. */
+  readonly queryPeers: () => Promise<readonly Known[]>;
   readonly onAdopted: (configuration: Configuration) => void;
   readonly onReader: (reader: boolean) => void;
   readonly log: Log;
 }
 
 const TICK_MS = 100;
-/** A VM that is no reader looks at the table this often, in case pushes fail. */
-const FALLBACK_POLL_MS = 5_000;
-/** A VM without a configuration asks its peers this often. */
-const ASK_PEERS_MS = 500;
-/** How old a push may be, at most, when it arrives: the time for all to have it. */
-const PUSH_AGE_MS = 5_000;
-
-/** Owns the follower and the tree of pushes. */
+/** Poll interval of a VM that is not a reader, in case pushes fail. */
+const FALLBACK_POLL_INTERVAL_MS = 5_000;
+/** Interval at which a VM without a configuration queries its peers. */
+const PEER_QUERY_INTERVAL_MS = 500;
+/** Assumed age of a push on arrival: the longest time until a change reaches every VM. */
+const MAX_PUSH_AGE_MS = 5_000;
+
+/** Owns the follower and the tree that disseminates the configuration. */
 export class ConfigurationTask extends Task<ConfigurationMessage> {
   readonly #options: ConfigurationTaskOptions;
   #follower: ConfigurationFollower<InForceJson>;
   #tree: Dissemination;
   #inForce: Configuration | undefined;
-  #reader = false;
+  #isReader = false;
   #polledAt = -Infinity;
-  #askedAt = -Infinity;
-  #polling = false;
+  #queriedPeersAt = -Infinity;
+  #isPolling = false;
 
   constructor(options: ConfigurationTaskOptions) {
     super("configuration");
@@ -70,30 +70,30 @@
     this.#tree = new Dissemination({ self: options.self });
   }
 
-  /** What is in force here. */
+  /** The configuration in force on this VM. */
   get inForce(): Configuration | undefined {
     return this.#inForce;
   }
 
-  /** What this VM tells a peer that has just started. */
+  /** The configuration that this VM sends to a peer that queries it. */
   get known(): Pick<Known, "inForce" | "ageMs"> {
     const { inForce, ageMs } = this.#follower;
     return {
       ...(inForce === undefined ? {} : { inForce }),
-      // JSON knows no Infinity: an hour is too old for anything.
+      // JSON has no Infinity; an hour is above every age limit.
       ageMs: Math.min(ageMs, 3_600_000),
     };
   }
 
-  /** Time since what is in force here was known to be the latest, in milliseconds. */
+  /** Time since the configuration in force on this VM was last known to be the latest. */
   get ageMs(): number {
     return this.#follower.ageMs;
   }
 
   protected override open(): void {
-    // What was in force stays so over a restart of this task: a configuration
-    // never goes back, and a table outage must not make a serving VM unready.
-    this.#polling = false;
+    // The configuration stays in force over a restart of this task: it is never
+    // reverted, and a table outage must not make a serving VM unready.
+    this.#isPolling = false;
     this.#polledAt = -Infinity;
     this.sendEvery(TICK_MS, { kind: "tick" });
     this.#updateReader();
@@ -105,14 +105,15 @@
     switch (message.kind) {
       case "tick":
         this.#perform(this.#tree.tick(now));
-        if (now - this.#polledAt >= FALLBACK_POLL_MS) {
+        if (now - this.#polledAt >= FALLBACK_POLL_INTERVAL_MS) {
           this.#poll();
         }
         if (
-          this.#inForce === undefined && now - this.#askedAt >= ASK_PEERS_MS
+          this.#inForce === undefined &&
+          now - this.#queriedPeersAt >= PEER_QUERY_INTERVAL_MS
         ) {
-          this.#askedAt = now;
-          this.spawn(this.#askPeers());
+          this.#queriedPeersAt = now;
+          this.spawn(this.#queryPeers());
         }
         return;
       case "peer":
@@ -134,12 +135,12 @@
 
   protected override close(): void {
     this.#follower.stopPolling();
-    this.#reader = false;
+    this.#isReader = false;
   }
 
-  /** The highest revision among the peers wins, since a follower never goes back. */
-  async #askPeers(): Promise<void> {
-    for (const { inForce, ageMs } of await this.#options.askPeers()) {
+  /** Adopts the highest revision of the peers, since the follower ignores lower ones. */
+  async #queryPeers(): Promise<void> {
+    for (const { inForce, ageMs } of await this.#options.queryPeers()) {
       if (inForce !== undefined) {
         this.#follower.receiveConfiguration(inForce, ageMs);
       }
@@ -148,16 +149,16 @@
 
   #newFollower(): ConfigurationFollower<InForceJson> {
     return new ConfigurationFollower(this.#options.store, {
-      onEffect: (effect) => this.#followed(effect),
+      onEffect: (effect) => this.#onFollowerEffect(effect),
     });
   }
 
   #updateReader(): void {
     const reader = this.#tree.isReader();
-    if (reader === this.#reader) {
+    if (reader === this.#isReader) {
       return;
     }
-    this.#reader = reader;
+    this.#isReader = reader;
     this.#options.onReader(reader);
     if (reader) {
       this.#follower.startPolling();
@@ -168,25 +169,25 @@
 
   #poll(): void {
     this.#polledAt = performance.now();
-    if (this.#polling) {
+    if (this.#isPolling) {
       return;
     }
-    this.#polling = true;
+    this.#isPolling = true;
     this.spawn(
       this.#follower.poll().finally(() => {
-        this.#polling = false;
+        this.#isPolling = false;
       }),
     );
   }
 
-  #followed(effect: FollowerEffect<InForceJson>): void {
+  #onFollowerEffect(effect: FollowerEffect<InForceJson>): void {
     const { log } = this.#options;
     switch (effect.kind) {
       case "adopt":
         this.#adopt(effect.inForce);
         return;
       case "fetch":
-        // The tree pulls it from whoever named the revision.
+        // The tree pulls it from the VM that reported the revision.
         return;
       case "table-behind":
         log.error("the table answers an older revision than one accepted", {
@@ -235,6 +236,6 @@
 
   #apply(body: string): void {
     const inForce = JSON.parse(body) as InForce<InForceJson>;
-    this.#follower.receiveConfiguration(inForce, PUSH_AGE_MS);
+    this.#follower.receiveConfiguration(inForce, MAX_PUSH_AGE_MS);
   }
 }
--- a/packages/daemon/src/crash_watch.ts
+++ b/packages/daemon/src/crash_watch.ts
@@ -1,9 +1,9 @@
 /**
- * Finds requests that crash the targets they reach, and holds them back.
+ * Detects requests that crash their targets, and holds them back.
  *
- * A target that dies breaks all its connections at once; a target that breaks
- * one connection of several has not died. So what fails on a target is gathered
- * for a moment, and counts as a death only if nothing on it went on.
+ * A target that crashes breaks all its connections at once; one that breaks only some
+ * of them has not crashed. Failures on a target are therefore collected for a short
+ * time, and count as a crash only if no other request on it completed meanwhile.
  *
  * @module
  */
@@ -20,27 +20,27 @@
 import type { AttemptWatch, Exchange } from "./http/exchange.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type CrashWatchMessage =
-  /** The moment to gather failures on a target is over. */
+  /** The window for collecting failures on a target has ended. */
   | { readonly kind: "judge"; readonly target: TargetId }
   | { readonly kind: "peer"; readonly message: HeldBackMessage };
 
-/** Construction of the task. */
+/** Options of {@link CrashWatch}. */
 export interface CrashWatchOptions {
-  /** Tells all VMs. */
+  /** Publishes a message to all VMs. */
   readonly publish: (message: HeldBackMessage) => void;
   readonly onEnded: (attempt: Attempt, end: AttemptEnd) => void;
 }
 
-/** Connections of one process break within one turn of the network; 50 ms spans a round trip and a half between zones. */
-const GATHER_MS = 50;
-/** Entries remembered for the operators' status. */
-const MAX_SHOWN = 100;
+/** The connections of a crashed process break within one network round trip; 50 ms is one and a half round trips between zones. */
+const GATHER_WINDOW_MS = 50;
+/** Maximum number of entries kept for the operators' status. */
+const MAX_STATUS_ENTRIES = 100;
 
 interface Suspicion {
   readonly fingerprints: Set<Fingerprint>;
-  /** Something on the target went on after the first failure. */
+  /** Whether a request on the target completed after the first failure. */
   alive: boolean;
 }
 
@@ -50,15 +50,15 @@
   readonly #options: CrashWatchOptions;
   readonly #heldBack = new HeldBack();
   readonly #suspicions = new Map<TargetId, Suspicion>();
-  /** Fingerprints that were heard of, for the status; newest last. */
-  readonly #shown = new Map<Fingerprint, Set<TargetId>>();
+  /** Targets that crashed with each fingerprint, for the status; newest last. */
+  readonly #statusEntries = new Map<Fingerprint, Set<TargetId>>();
 
   constructor(options: CrashWatchOptions) {
     super("crash-watch");
     this.#options = options;
   }
 
-  /** Entries in the table. */
+  /** Number of entries in the table. */
   get size(): number {
     return this.#heldBack.size;
   }
@@ -83,7 +83,7 @@
         return;
       case "answered":
       case "answered-error":
-        this.#vouch(exchange, attempt);
+        this.#markAlive(exchange, attempt);
         return;
       default:
         return;
@@ -91,7 +91,7 @@
   }
 
   statuses(now: number): readonly HeldBackStatus[] {
-    return [...this.#shown].flatMap(([fingerprint, deaths]) => {
+    return [...this.#statusEntries].flatMap(([fingerprint, deaths]) => {
       const verdict = this.#heldBack.verdict(fingerprint, now);
       return verdict.kind === "held-back"
         ? [{
@@ -108,11 +108,11 @@
   protected override receive(message: CrashWatchMessage): void {
     switch (message.kind) {
       case "judge":
-        this.#judge(message.target);
+        this.#assess(message.target);
         return;
       case "peer":
         this.#heldBack.receive(message.message, performance.now());
-        this.#show(message.message);
+        this.#recordForStatus(message.message);
         return;
     }
   }
@@ -131,12 +131,12 @@
     if (suspicion === undefined) {
       suspicion = { fingerprints: new Set(), alive: false };
       this.#suspicions.set(target, suspicion);
-      this.sendAfter(GATHER_MS, { kind: "judge", target });
+      this.sendAfter(GATHER_WINDOW_MS, { kind: "judge", target });
     }
     suspicion.fingerprints.add(fingerprint);
   }
 
-  #vouch(exchange: Exchange, attempt: Attempt): void {
+  #markAlive(exchange: Exchange, attempt: Attempt): void {
     const suspicion = this.#suspicions.get(attempt.target);
     if (suspicion !== undefined) {
       suspicion.alive = true;
@@ -150,7 +150,7 @@
     }
   }
 
-  #judge(target: TargetId): void {
+  #assess(target: TargetId): void {
     const suspicion = this.#suspicions.get(target);
     this.#suspicions.delete(target);
     if (suspicion === undefined || suspicion.alive) {
@@ -162,28 +162,28 @@
       performance.now(),
     );
     for (const message of messages) {
-      this.#show(message);
+      this.#recordForStatus(message);
       this.#options.publish(message);
     }
   }
 
-  #show(message: HeldBackMessage): void {
+  #recordForStatus(message: HeldBackMessage): void {
     if (message.kind !== "coincided") {
       return;
     }
     const { fingerprint, target } = message;
-    const deaths = this.#shown.get(fingerprint) ?? new Set();
-    this.#shown.delete(fingerprint);
-    this.#shown.set(fingerprint, deaths.add(target));
-    if (this.#shown.size > MAX_SHOWN) {
-      const [oldest] = this.#shown.keys();
-      this.#shown.delete(oldest!);
+    const deaths = this.#statusEntries.get(fingerprint) ?? new Set();
+    this.#statusEntries.delete(fingerprint);
+    this.#statusEntries.set(fingerprint, deaths.add(target));
+    if (this.#statusEntries.size > MAX_STATUS_ENTRIES) {
+      const [oldest] = this.#statusEntries.keys();
+      this.#statusEntries.delete(oldest!);
     }
   }
 }
 
 /**
- * What makes two sendings the same request: caller and key, or caller, method,
+ * Identifies a request across repetitions by caller and key, or by caller, method,
  * path and body. Undefined for a streamed body without a key.
  */
 function fingerprintOf(exchange: Exchange): Fingerprint | undefined {
@@ -192,11 +192,11 @@
   if (head.key !== undefined) {
     hash.update(`key ${head.key}`);
   } else {
-    const whole = exchange.wholeBody;
-    if (whole === undefined) {
+    const body = exchange.wholeBody;
+    if (body === undefined) {
       return undefined;
     }
-    hash.update(`${req.method} ${req.url}\n`).update(whole ?? "");
+    hash.update(`${req.method} ${req.url}\n`).update(body ?? "");
   }
   return hash.digest("base64url") as Fingerprint;
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,6 +1,6 @@
 /**
- * The one module that constructs a daemon: it makes the tasks, says who hears
- * what, and puts them under supervision.
+ * Constructs a daemon: creates its tasks, connects them and puts them under
+ * supervision.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 import { CrashWatch } from "./crash_watch.ts";
 import { Demand } from "./demand.ts";
 import { messageOf } from "./errors.ts";
-import { type FactNews, Facts } from "./facts.ts";
+import { Facts, type FactUpdate } from "./facts.ts";
 import { FleetTask, type FleetView } from "./fleet.ts";
 import {
   regionStates,
@@ -46,10 +46,10 @@
 import { Outages } from "./outages.ts";
 import type { PeerId, PeerNotice } from "./peers/messages.ts";
 import { PeerNetwork } from "./peers/peer_network.ts";
-import { PeerQuestions } from "./peer_questions.ts";
+import { PeerQueries } from "./peer_queries.ts";
 import type { PlanInputs } from "./planning.ts";
 import { PlanTask } from "./plan_task.ts";
-import { stopAsPlanned } from "./planned_stop.ts";
+import { runPlannedStop } from "./planned_stop.ts";
 import { type ListedVm, PlatformClient } from "./platform_client.ts";
 import { Revisions } from "./revisions.ts";
 import { SlotLoans } from "./slot_loans.ts";
@@ -59,9 +59,9 @@
 import type { SupervisedTask } from "./task.ts";
 import { VmListTask } from "./vm_list_task.ts";
 
-/** What is read from the files that the settings name. */
+/** Contents of the secret files that the settings name. */
 export interface Secrets {
-  /** Text of the operators' tokens file. */
+  /** Content of the operators' tokens file. */
   readonly operatorTokens: string;
   readonly peerToken: string;
 }
@@ -69,25 +69,25 @@
 /** A running daemon. */
 export interface Daemon {
   readonly instance: InstanceId;
-  /** Ports of the listeners, also where the settings leave the choice to the system. */
+  /** Ports of the listeners, including those that the operating system chose. */
   readonly ports: {
     readonly caller: number;
     readonly operator: number;
     readonly peer: number;
   };
-  /** Settles when a configuration is in force and the fleet is known. */
+  /** Resolves when a configuration is in force and the VM list and a plan are known. */
   readonly ready: Promise<void>;
-  /** Settles with the reason when the daemon cannot go on. */
+  /** Resolves with the error when the daemon cannot continue. */
   readonly failed: Promise<unknown>;
-  /** The planned stop; settles when nothing is left. */
+  /** Runs the planned stop; resolves when everything is closed. */
   stop(): Promise<void>;
-  /** Ends at once and cuts what is in flight. For tests. */
+  /** Stops at once and aborts the requests in flight. For tests. */
   kill(): Promise<void>;
 }
 
-/** Ten reads of the list by a reader. */
-const LIST_FRESH_MS = 5_000;
-/** Starts a daemon; settles when its listeners are up. */
+/** A reader polls the list ten times in this period. */
+const MAX_LIST_AGE_MS = 5_000;
+/** Starts a daemon; resolves when its listeners accept connections. */
 export async function startDaemon(
   settings: Settings,
   secrets: Secrets,
@@ -119,7 +119,7 @@
   readonly #poller: TargetPoller;
   readonly #callers: CallerListener;
   readonly #peers: PeerNetwork;
-  readonly #questions: PeerQuestions;
+  readonly #queries: PeerQueries;
   readonly #membership: MembershipTask;
   readonly #facts: Facts;
   readonly #loans: SlotLoans;
@@ -131,18 +131,18 @@
   readonly #root: Supervisor;
   #routing: RoutingView | undefined;
   #leaving = false;
-  #confirmedPlan = 0;
-  #becomeReady: () => void = () => undefined;
-  #fail: (err: unknown) => void = () => undefined;
+  #appliedPlanSequence = 0;
+  #resolveReady: () => void = () => undefined;
+  #resolveFailed: (err: unknown) => void = () => undefined;
 
   constructor(settings: Settings, secrets: Secrets) {
     const { vm, region, zone, listen } = settings;
     this.#settings = settings;
-    const life = randomBytes(6).toString("hex");
-    this.instance = `${vm}.${life}` as InstanceId;
+    const instanceSuffix = randomBytes(6).toString("hex");
+    this.instance = `${vm}.${instanceSuffix}` as InstanceId;
     this.#self = { vm, instance: this.instance };
-    this.ready = new Promise((resolve) => this.#becomeReady = resolve);
-    this.failed = new Promise((resolve) => this.#fail = resolve);
+    this.ready = new Promise((resolve) => this.#resolveReady = resolve);
+    this.failed = new Promise((resolve) => this.#resolveFailed = resolve);
     this.#log = createLog({
       level: settings.log.level,
       vm,
@@ -160,7 +160,7 @@
       instance: this.instance,
       holders: {
         ask: ({ instance, claim, attempt }, waitMs) =>
-          this.#questions.askHolder({ instance, claim, attempt }, waitMs),
+          this.#queries.askHolder({ instance, claim, attempt }, waitMs),
       },
     });
     const seed = randomBytes(4).readInt32LE();
@@ -173,7 +173,7 @@
       self: vm,
       seed,
       onPeerEffect: (effect) => this.#onPeerEffect(effect),
-      onStarted: () => this.#tellSteering(),
+      onStarted: () => this.#updateSteering(),
     });
     this.#crashes = new CrashWatch({
       publish: (message) => this.#facts.publishHeldBack(message),
@@ -190,7 +190,7 @@
     });
     this.#callers = new CallerListener({
       settings,
-      idPrefix: `${vm}-${life}`,
+      idPrefix: `${vm}-${instanceSuffix}`,
       lookups: this.#lookups,
       metrics: this.#metrics,
       services: this.#exchangeServices(),
@@ -203,7 +203,7 @@
       host: listen.peer.host,
       port: listen.peer.port,
       handler: {
-        notice: (from, notice) => this.#onNotice(from, notice),
+        notice: (from, notice) => this.#onPeerNotice(from, notice),
         claim: (_from, { question, waitMs }) =>
           this.#claims.answerPeer(question, waitMs),
         known: () => ({
@@ -215,7 +215,7 @@
       metrics: this.#metrics,
       log: this.#log,
     });
-    this.#questions = new PeerQuestions({
+    this.#queries = new PeerQueries({
       self,
       fleet: this.#fleet,
       peers: this.#peers,
@@ -237,18 +237,19 @@
     this.#facts = new Facts({
       self: vm,
       publish: (fact) => this.#membership.send({ kind: "publish", fact }),
-      onFact: (news) => this.#onNews(news),
+      onFact: (update) => this.#onFact(update),
     });
     this.#loans = new SlotLoans({
       instance: this.instance,
-      send: (to, params) => this.#tell(to, { method: "slots", params }),
+      send: (to, params) => this.#sendToPeer(to, { method: "slots", params }),
       steer: (event) => this.#steering.send(event),
     });
     this.#configuration = new ConfigurationTask({
       self,
       store: new ConfigurationStore<InForceJson>(this.#platform),
-      send: (to, params) => this.#tell(to, { method: "configuration", params }),
-      askPeers: () => this.#questions.askNear(),
+      send: (to, params) =>
+        this.#sendToPeer(to, { method: "configuration", params }),
+      queryPeers: () => this.#queries.queryNearest(),
       onAdopted: (configuration) => this.#onAdopted(configuration),
       onReader: (reader) => this.#vmList.send({ kind: "reader", reader }),
       log: this.#log,
@@ -261,17 +262,18 @@
       self,
       table: this.#platform,
       inputs: () => this.#planInputs(),
-      ownReport: () => ({
-        sequence: this.#confirmedPlan,
+      localReport: () => ({
+        sequence: this.#appliedPlanSequence,
         demand: this.#demand.means(performance.now()),
         lenders: this.#loans.lenders,
       }),
       report: (to, params) =>
-        this.#tell(to, { method: "planner-report", params }),
-      send: (to, params) => this.#tell(to, { method: "plan", params }),
-      sendTerm: (to, params) => this.#tell(to, { method: "term", params }),
-      fetchFrom: (vm) => void this.#questions.askKnown([vm]),
-      askAll: () => this.#questions.askListed(),
+        this.#sendToPeer(to, { method: "planner-report", params }),
+      send: (to, params) => this.#sendToPeer(to, { method: "plan", params }),
+      sendTerm: (to, params) =>
+        this.#sendToPeer(to, { method: "term", params }),
+      fetchPlanFrom: (vm) => void this.#queries.queryKnown([vm]),
+      queryAll: () => this.#queries.queryListed(),
       onPlan: (plan, validMs) => this.#onPlan(plan, validMs),
       log: this.#log,
     });
@@ -292,24 +294,26 @@
 
   async start(): Promise<void> {
     await this.#root.start({
-      failed: (_task: SupervisedTask, err: unknown) => this.#fail(err),
+      failed: (_task: SupervisedTask, err: unknown) => this.#resolveFailed(err),
     });
-    // Membership knew itself before those who ask about members were up.
-    this.#tellMembers();
+    // Membership reports its first members before the tasks that need them have
+    // started.
+    this.#updateMembers();
   }
 
   async stop(): Promise<void> {
-    await stopAsPlanned({
-      announce: () => this.#announce(),
+    await runPlannedStop({
+      announce: () => this.#announceLeaving(),
       lifetimeMs: () => this.#inForce?.preset.lookup.lifetimeMs ?? 0,
       longestDeadlineMs: () =>
         Math.max(
           0,
           ...this.#inForce?.preset.routes.map((one) => one.deadlineMs) ?? [],
         ),
-      endKeptConnections: () => this.#callers.send({ kind: "end-kept" }),
+      closeConnectionsAfterResponse: () =>
+        this.#callers.send({ kind: "end-kept" }),
       stopAccepting: () => this.#callers.send({ kind: "drain" }),
-      requestsOver: () => this.#callers.empty(),
+      waitForRequests: () => this.#callers.empty(),
       pendingOutcomes: () => this.#claims.pending,
       release: async () => {
         this.#loans.send({ kind: "return-all" });
@@ -343,7 +347,7 @@
       tasks.forEach((task) => supervisor.add(task));
       return supervisor;
     };
-    // In the order of use: what comes later needs what came before.
+    // In order of dependency: each group uses the groups before it.
     return group("daemon", [
       group("state", [this.#fleet, this.#steering, this.#crashes]),
       group("peers", [this.#peers, this.#membership, this.#loans]),
@@ -410,7 +414,7 @@
       watch: this.#crashes,
       steer: (event, exchange) => {
         if (event.kind === "arrive") {
-          this.#demand.began(event.service, performance.now());
+          this.#demand.requestStarted(event.service, performance.now());
         }
         this.#steering.steer(event, exchange);
       },
@@ -418,7 +422,7 @@
         const now = performance.now();
         const { route } = exchange.route;
         if (exchange.wasSteered) {
-          this.#demand.ended(route.service, now);
+          this.#demand.requestEnded(route.service, now);
         }
         this.#callers.exchangeEnded();
         const ms = now - exchange.startedAt;
@@ -442,20 +446,20 @@
       return "leaving";
     }
     if (this.#inForce === undefined) {
-      return "no configuration is in force here";
+      return "no configuration is in force on this VM";
     }
     if (!this.#fleet.hasList) {
-      return "the list of VMs is not known";
+      return "the platform's VM list has not been read";
     }
-    // A VM that no plan names yet serves by slots that its neighbours lend. It
-    // must not wait to be named: the planner moves no slots for a VM without
-    // requests while the others are near their shares.
+    // A VM without slots in the plan serves with slots borrowed from its peers. It
+    // must not wait for slots of its own: the planner allots none to a VM without
+    // requests while the other VMs are near their shares.
     return this.#plan.plan === undefined ? "no plan is known" : undefined;
   }
 
   #checkReady(): void {
     if (this.#notReady() === undefined) {
-      this.#becomeReady();
+      this.#resolveReady();
     }
   }
 
@@ -472,13 +476,13 @@
     this.#metrics.revision.set(revision);
     this.#log.info("configuration in force", { revision });
     const services = preset.services.map(({ id }) => id);
-    this.#demand.watch(services, performance.now());
+    this.#demand.setServices(services, performance.now());
     this.#steering.send({ kind: "start", policy: preset });
     this.#fleet.send({ kind: "configuration", configuration });
     this.#membership.send({ kind: "revision", revision });
-    this.#revisions.heard(this.#self.vm, revision, performance.now());
+    this.#revisions.confirm(this.#self.vm, revision, performance.now());
     this.#onView(this.#fleet.view);
-    this.#tellDrains(configuration);
+    this.#updateDrains(configuration);
     this.#checkReady();
   }
 
@@ -492,7 +496,9 @@
       preset: inForce.preset,
       self: { region, zone },
       vms: view.vms
-        .filter(({ belief }) => belief === "live" || belief === "suspect")
+        .filter(({ effectiveState }) =>
+          effectiveState === "live" || effectiveState === "suspect"
+        )
         .map(({ id, region, zone, caller }) => ({
           vm: id,
           region,
@@ -514,7 +520,7 @@
     }
   }
 
-  #tellDrains({ drains }: Configuration): void {
+  #updateDrains({ drains }: Configuration): void {
     const idsOf = (kind: string) =>
       drains.filter((one) => one.kind === kind).map((one) => one.id);
     this.#steering.send({
@@ -525,11 +531,11 @@
     });
   }
 
-  /** Decisions that have just started learn everything that is known. */
-  #tellSteering(): void {
+  /** Passes the current state to a steering task that has just started. */
+  #updateSteering(): void {
     this.#onView(this.#fleet.view);
     if (this.#inForce !== undefined) {
-      this.#tellDrains(this.#inForce);
+      this.#updateDrains(this.#inForce);
     }
     if (this.#plan.plan !== undefined) {
       this.#onPlan(this.#plan.plan, this.#plan.validMs);
@@ -555,7 +561,7 @@
       targets: targetsToPlan(view, inForce),
       instances: new Map(
         this.#fleet.members
-          // A member that is only listed, and was never heard, has no instance yet.
+          // A member that is listed but has sent no heartbeat has no instance yet.
           .filter(({ instance }) => instance.length > 0)
           .map(({ vm, instance }) => [vm, instance]),
       ),
@@ -563,10 +569,10 @@
     };
   }
 
-  /** Unknown while the list is too old to say that a VM is not on it. */
+  /** Undefined while the list is too old to prove that a VM is missing from it. */
   #listedVms(): ReadonlySet<VmId> | undefined {
     const { view, listedAt } = this.#fleet;
-    return performance.now() - listedAt < LIST_FRESH_MS
+    return performance.now() - listedAt < MAX_LIST_AGE_MS
       ? new Set(view.vms.map(({ id }) => id))
       : undefined;
   }
@@ -579,10 +585,10 @@
         this.#loans.send({ kind: "effect", effect });
         return;
       case "plan-applied":
-        this.#confirmedPlan = effect.sequence;
+        this.#appliedPlanSequence = effect.sequence;
         return;
       case "belief-changed":
-        this.#facts.publishBelief(effect.target, effect.failing);
+        this.#facts.publishHealth(effect.target, effect.failing);
         return;
     }
   }
@@ -602,28 +608,29 @@
     });
   }
 
-  #onNews(news: FactNews): void {
-    switch (news.kind) {
+  #onFact(update: FactUpdate): void {
+    switch (update.kind) {
       case "target-leaving":
-        this.#fleet.send(news);
-        this.#steering.send(news);
+        this.#fleet.send(update);
+        this.#steering.send(update);
         return;
       case "target-staying":
-        this.#targetStays(news.target);
+        this.#onTargetStaying(update.target);
         return;
       case "peer-belief":
-        this.#steering.send(news);
+        this.#steering.send(update);
         return;
       case "held-back":
-        this.#crashes.send({ kind: "peer", message: news.message });
+        this.#crashes.send({ kind: "peer", message: update.message });
         return;
     }
   }
 
-  /** Nobody says any more that the target leaves: its drain was called off. */
-  #targetStays(target: TargetId): void {
+  /** The leaving notices of a target have expired: its drain was cancelled. */
+  #onTargetStaying(target: TargetId): void {
     this.#fleet.send({ kind: "target-staying", target });
-    // The decisions take a leaving target back only after it was gone.
+    // Steering accepts a leaving target again only after its removal, so the target
+    // is removed and added.
     const { view } = this.#fleet;
     const targets = view.targets.filter(({ id }) => id !== target);
     this.#steering.send({
@@ -640,12 +647,12 @@
         if (effect.member.state === "dead") {
           this.#peers.send({ kind: "drop", vm: effect.member.vm });
         }
-        this.#tellMembers();
+        this.#updateMembers();
         return;
       case "forgotten":
         this.#fleet.send({ kind: "forgotten", vm: effect.member.vm });
-        this.#revisions.forget(effect.member.vm);
-        this.#tellMembers();
+        this.#revisions.remove(effect.member.vm);
+        this.#updateMembers();
         return;
       case "fact":
         this.#facts.receive(effect.fact);
@@ -661,24 +668,28 @@
         });
         return;
       case "superseded":
-        this.#fail(new Error("Another instance has taken this VM's name over"));
+        this.#resolveFailed(
+          new Error(
+            "Cannot continue: another instance runs under this VM's name",
+          ),
+        );
         return;
     }
   }
 
-  #tellMembers(): void {
+  #updateMembers(): void {
     const { members } = this.#membership;
     this.#configuration.send({ kind: "members", members });
     this.#plan.send({ kind: "members", members });
   }
 
-  #onNotice(from: PeerId, notice: PeerNotice): void {
+  #onPeerNotice(from: PeerId, notice: PeerNotice): void {
     switch (notice.method) {
       case "membership": {
         const message = notice.params;
         if ("revision" in message) {
           const now = performance.now();
-          this.#revisions.heard(message.from.vm, message.revision, now);
+          this.#revisions.confirm(message.from.vm, message.revision, now);
         }
         this.#membership.send({ kind: "peer", message });
         return;
@@ -701,20 +712,22 @@
     }
   }
 
-  #tell(to: VmId, notice: PeerNotice): void {
+  #sendToPeer(to: VmId, notice: PeerNotice): void {
     const address = this.#fleet.peerAddress(to);
     if (address !== undefined) {
       this.#peers.send({ kind: "send", to, address, notice });
     }
   }
 
-  #announce(): void {
+  #announceLeaving(): void {
     this.#leaving = true;
     this.#fleet.send({ kind: "self-leaving" });
     this.#membership.send({ kind: "leave" });
-    const own = this.#fleet.view.vms.find(({ id }) => id === this.#self.vm);
-    if (own !== undefined) {
-      const { belief: _, ...entry } = own;
+    const selfEntry = this.#fleet.view.vms.find(({ id }) =>
+      id === this.#self.vm
+    );
+    if (selfEntry !== undefined) {
+      const { effectiveState: _, ...entry } = selfEntry;
       this.#platform.announce({ ...entry, state: "leaving" })
         .catch((err) =>
           this.#log.warn("platform not told of the stop", {
@@ -731,8 +744,8 @@
     const { ageMs } = this.#configuration;
     metrics.configurationAge.set(Number.isFinite(ageMs) ? ageMs / 1_000 : -1);
     metrics.members.reset();
-    for (const { belief } of this.#fleet.view.vms) {
-      metrics.members.inc({ state: belief });
+    for (const { effectiveState } of this.#fleet.view.vms) {
+      metrics.members.inc({ state: effectiveState });
     }
   }
 }
--- a/packages/daemon/src/demand.ts
+++ b/packages/daemon/src/demand.ts
@@ -1,13 +1,13 @@
 /**
- * How many slots the requests of this VM keep busy or wait for, by service.
+ * Mean number of slots that the requests of this VM use or wait for, by service.
  *
  * @module
  */
 
 import type { ServiceId } from "@poplarthread/ids";
 
-/** The mean is taken over about this long: two steps of a plan. */
-const WINDOW_MS = 5_000;
+/** Time constant of the decaying mean: about two planning steps. */
+const MEAN_WINDOW_MS = 5_000;
 
 interface Entry {
   current: number;
@@ -19,20 +19,20 @@
 export class Demand {
   readonly #entries = new Map<ServiceId, Entry>();
 
-  /** These are the services: one without requests has a mean of 0, which is known. */
-  watch(services: readonly ServiceId[], now: number): void {
+  /** Registers the services, so that one without requests reports a mean of 0. */
+  setServices(services: readonly ServiceId[], now: number): void {
     services.forEach((service) => this.#change(service, 0, now));
   }
 
-  began(service: ServiceId, now: number): void {
+  requestStarted(service: ServiceId, now: number): void {
     this.#change(service, 1, now);
   }
 
-  ended(service: ServiceId, now: number): void {
+  requestEnded(service: ServiceId, now: number): void {
     this.#change(service, -1, now);
   }
 
-  /** The means as of now. */
+  /** The means at `now`. */
   means(now: number): readonly { service: ServiceId; slots: number }[] {
     return [...this.#entries].map(([service, entry]) => {
       decay(entry, now);
@@ -52,7 +52,7 @@
 }
 
 function decay(entry: Entry, now: number): void {
-  const weight = Math.exp((entry.updatedAt - now) / WINDOW_MS);
+  const weight = Math.exp((entry.updatedAt - now) / MEAN_WINDOW_MS);
   entry.mean = entry.mean * weight + entry.current * (1 - weight);
   entry.updatedAt = now;
 }
--- a/packages/daemon/src/explanation.ts
+++ b/packages/daemon/src/explanation.ts
@@ -1,5 +1,5 @@
 /**
- * Where a request would go now, and why, without sending it.
+ * Explains which target a request would be sent to now, without sending it.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { FleetTarget } from "./fleet.ts";
 import type { RouteTable } from "./http/routes.ts";
 
-/** What an explanation looks at. */
+/** Inputs of an explanation. */
 export interface ExplanationInput {
   readonly routes: RouteTable | undefined;
   readonly steering: Steering | undefined;
@@ -25,13 +25,16 @@
 ): Explanation {
   const { routes, steering } = input;
   if (routes === undefined || steering === undefined) {
-    return { kind: "no-route", why: "no configuration is in force here yet" };
+    return {
+      kind: "no-route",
+      why: "no configuration is in force on this VM yet",
+    };
   }
   const match = routes.find(request.method, request.path);
   if (match.kind !== "found") {
     const why = match.kind === "ambiguous"
       ? match.reason
-      : "no route takes this method and path";
+      : "no route matches this method and path";
     return { kind: "no-route", why };
   }
   const { route, prefix } = match.route;
@@ -43,13 +46,13 @@
     repeat: route.repeat,
     deadlineMs: route.deadlineMs,
   } as const;
-  const longest = `path prefix "${prefix}/" is the longest that fits`;
+  const matchText = `path prefix "${prefix}/" is the longest match`;
   const now = performance.now();
   const usable = steering.targets(now).filter((one) =>
-    one.service === route.service && isIn(one)
+    one.service === route.service && isUsable(one)
   );
   if (usable.length === 0) {
-    return { ...base, why: `${longest}; no target of the service is in use` };
+    return { ...base, why: `${matchText}; no target of the service is in use` };
   }
   const free = usable.filter((one) => freeSlots(one) > 0);
   if (free.length === 0) {
@@ -57,38 +60,40 @@
       .find((one) => one.service === route.service)?.waitMs ?? 0;
     return {
       ...base,
-      why: `${longest}; all ${usable.length} targets are full as far as this ` +
-        `VM may use them; expected wait ${Math.round(waitMs)} ms`,
+      why: `${matchText}; this VM has no free slot on any of ` +
+        `${usable.length} targets; expected wait ${Math.round(waitMs)} ms`,
     };
   }
-  return { ...base, ...choose(free, input, longest) };
+  return { ...base, ...explainChoice(free, input, matchText) };
 }
 
-function choose(
+function explainChoice(
   free: readonly TargetView[],
   input: ExplanationInput,
   longest: string,
 ) {
-  const places = new Map(input.targets.map((one) => [one.id, one]));
+  const locations = new Map(input.targets.map((one) => [one.id, one]));
   const { region, zone } = input.home;
   const best = free.toSorted((a, b) => {
-    const one = places.get(a.target);
-    const other = places.get(b.target);
+    const one = locations.get(a.target);
+    const other = locations.get(b.target);
     return Number(other?.region === region) - Number(one?.region === region) ||
       Number(other?.zone === zone) - Number(one?.zone === zone) ||
       a.ratio - b.ratio ||
       freeSlots(b) - freeSlots(a);
   })[0]!;
-  const place = places.get(best.target);
-  const where = place?.region === region
+  const location = locations.get(best.target);
+  const where = location?.region === region
     ? "in this region"
     : "in another region";
   return {
     target: best.target,
-    ...(place === undefined ? {} : { region: place.region }),
+    ...(location === undefined ? {} : { region: location.region }),
     why: `${longest}; ${free.length} targets have a free slot, this one is ` +
-      `${where}, ${best.standing}, with answers at ${best.ratio.toFixed(1)} ` +
-      `times the usual; another of them may be taken by the time of sending`,
+      `${where}, ${best.standing}, with ${
+        best.ratio.toFixed(1)
+      } times the usual ` +
+      `response time; the choice may differ when the request is sent`,
   };
 }
 
@@ -96,7 +101,7 @@
   return view.owned + view.borrowed - view.lent - view.inUse;
 }
 
-function isIn(view: TargetView): boolean {
+function isUsable(view: TargetView): boolean {
   return view.standing !== "leaving" && view.standing !== "drained" &&
     view.standing !== "failing";
 }
--- a/packages/daemon/src/facts.ts
+++ b/packages/daemon/src/facts.ts
@@ -1,6 +1,6 @@
 /**
- * Small facts that VMs spread with their heartbeats: targets that leave, targets
- * that fail, requests that coincided with a target's death.
+ * Facts that VMs disseminate with their heartbeats: leaving targets, failing targets,
+ * and requests that were in flight on a target when it crashed.
  *
  * @module
  */
@@ -9,61 +9,61 @@
 import type { PeerBelief } from "@poplarthread/decisions";
 import type { TargetId, VmId } from "@poplarthread/ids";
 
-/** How long a fact is known: targets are polled each second, so that it is renewed in time. */
-const LEAVING_FACT_MS = 20_000;
-const BELIEF_FACT_MS = 3_000;
-/** How often the fact of a target that still says it leaves is renewed. */
-const RENEW_FACT_MS = 5_000;
+/** Lifetimes of facts; targets are polled each second, so that facts are renewed in time. */
+const LEAVING_LIFETIME_MS = 20_000;
+const HEALTH_LIFETIME_MS = 3_000;
+/** Renewal interval of the fact of a target that still reports that it is leaving. */
+const LEAVING_RENEWAL_INTERVAL_MS = 5_000;
 
-/** What a fact tells. */
-export type FactNews =
+/** Updates derived from facts. */
+export type FactUpdate =
   | { readonly kind: "target-leaving"; readonly target: TargetId }
-  /** Nobody says any more that it leaves. */
+  /** All leaving notices of the target have expired. */
   | { readonly kind: "target-staying"; readonly target: TargetId }
   | PeerBelief
   | { readonly kind: "held-back"; readonly message: HeldBackMessage };
 
-/** Where facts go, and who hears their news. */
+/** Options of {@link Facts}. */
 export interface FactsOptions {
   readonly self: VmId;
   readonly publish: (fact: Fact) => void;
-  readonly onFact: (news: FactNews) => void;
+  readonly onFact: (update: FactUpdate) => void;
 }
 
-/** Turns what happened here into facts, and facts into news. */
+/** Publishes local events as facts, and converts received facts into updates. */
 export class Facts {
   readonly #options: FactsOptions;
-  readonly #leavingSaid = new Map<TargetId, number>();
+  readonly #leavingPublishedAt = new Map<TargetId, number>();
   #version = 0;
 
   constructor(options: FactsOptions) {
     this.#options = options;
   }
 
-  /** A target said that it leaves; said again, it is renewed now and then. */
+  /** Publishes that a target is leaving, and renews the fact while the target reports it. */
   publishLeaving(target: TargetId): void {
     const now = performance.now();
-    const saidAt = this.#leavingSaid.get(target) ?? -Infinity;
-    if (now - saidAt < RENEW_FACT_MS) {
+    const publishedAt = this.#leavingPublishedAt.get(target) ?? -Infinity;
+    if (now - publishedAt < LEAVING_RENEWAL_INTERVAL_MS) {
       return;
     }
-    this.#leavingSaid.set(target, now);
+    this.#leavingPublishedAt.set(target, now);
     this.#options.onFact({ kind: "target-leaving", target });
     this.#publish(`leaving/target/${target}`, {
       value: target,
-      lifetimeMs: LEAVING_FACT_MS,
+      lifetimeMs: LEAVING_LIFETIME_MS,
     });
   }
 
-  /** This VM's own attempts say that a target fails, or works again. */
-  publishBelief(target: TargetId, failing: boolean): void {
+  /** Publishes that a target fails, or works again, by the attempts of this VM. */
+  publishHealth(target: TargetId, failing: boolean): void {
     this.#publish(`belief/${target}/${this.#options.self}`, {
       value: { failing },
-      lifetimeMs: BELIEF_FACT_MS,
+      lifetimeMs: HEALTH_LIFETIME_MS,
     });
   }
 
-  /** A request coincided with a death, or was completed. */
+  /** Publishes that a request coincided with a crash, or was completed. */
   publishHeldBack(message: HeldBackMessage): void {
     this.#publish(heldBackKey(message, this.#options.self), {
       value: message as unknown as Fact["value"],
@@ -71,7 +71,7 @@
     });
   }
 
-  /** A fact came from a peer. */
+  /** Handles a fact received from a peer. */
   receive({ key, value, lifetimeMs }: Fact): void {
     const [kind, ...rest] = key.split("/");
     const { self, onFact } = this.#options;
@@ -83,7 +83,7 @@
         const [target, from] = rest as [TargetId, VmId];
         if (from !== self) {
           const { failing } = value as { failing: boolean };
-          const ageMs = Math.max(0, BELIEF_FACT_MS - lifetimeMs);
+          const ageMs = Math.max(0, HEALTH_LIFETIME_MS - lifetimeMs);
           onFact({ kind: "peer-belief", from, target, failing, ageMs });
         }
         return;
@@ -97,7 +97,7 @@
     }
   }
 
-  /** A fact ran out without being renewed. */
+  /** Handles the expiry of a fact that was not renewed. */
   expired(key: string): void {
     if (key.startsWith("leaving/target/")) {
       const target = key.split("/")[2] as TargetId;
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Versions grow with time, also over restarts of the daemon. */
+  /** Versions follow the wall clock, so that they also increase over restarts of the daemon. */
   #publish(
     key: string,
     { value, lifetimeMs }: Pick<Fact, "value" | "lifetimeMs">,
@@ -117,10 +117,10 @@
 }
 
 /**
- * One fact for each death: under one key the second would replace the first,
- * and the peers would never count to two.
+ * One key for each crash: under a common key the second fact would replace the
+ * first, and peers would never count two crashes.
  */
 function heldBackKey(message: HeldBackMessage, self: VmId): string {
-  const about = message.kind === "coincided" ? message.target : message.kind;
-  return `held-back/${message.fingerprint}/${self}/${about}`;
+  const subject = message.kind === "coincided" ? message.target : message.kind;
+  return `held-back/${message.fingerprint}/${self}/${subject}`;
 }
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet as this VM sees it: entry VMs and targets, put together from the
- * platform's list, membership, drains and signs of leaving.
+ * This VM's view of the fleet: entry VMs and targets, merged from the platform's
+ * list, membership, drains and leaving notices.
  *
  * @module
  */
@@ -12,33 +12,33 @@
 import type { ListedEntry, ListedTarget, ListedVm } from "./platform_client.ts";
 import { Task } from "./task.ts";
 
-/** An entry VM with everything that is known of it. */
+/** An entry VM as listed, with its effective state. */
 export interface FleetVm extends ListedEntry {
-  /** What is believed of it. */
-  readonly belief: VmStatus["state"];
+  /** State merged from the list, membership and drains. */
+  readonly effectiveState: VmStatus["state"];
 }
 
-/** A target with everything that is known of it. */
+/** A target as listed, with its current state. */
 export interface FleetTarget extends ListedTarget {
   readonly leaving: boolean;
   readonly cold: boolean;
 }
 
-/** The whole view. */
+/** All entry VMs and targets that the platform lists. */
 export interface FleetView {
   readonly vms: readonly FleetVm[];
   readonly targets: readonly FleetTarget[];
 }
 
-/** What the task is told. */
+/** Messages of the task. */
 export type FleetMessage =
   | { readonly kind: "listed"; readonly vms: readonly ListedVm[] }
   | { readonly kind: "member"; readonly member: Member }
   | { readonly kind: "forgotten"; readonly vm: VmId }
   | { readonly kind: "configuration"; readonly configuration: Configuration }
-  /** A sign of leaving, from whatever source. */
+  /** A notice, from any source, that the target is leaving. */
   | { readonly kind: "target-leaving"; readonly target: TargetId }
-  /** The sign has expired: the list decides again. */
+  /** The leaving notice has expired: the listed state applies again. */
   | { readonly kind: "target-staying"; readonly target: TargetId }
   | {
     readonly kind: "target-cold";
@@ -47,14 +47,14 @@
   }
   | { readonly kind: "self-leaving" };
 
-/** Construction of the task. */
+/** Options of {@link FleetTask}. */
 export interface FleetOptions {
   readonly self: VmId;
-  /** Called with each view that differs from the one before. */
+  /** Called with each view that differs from the previous one. */
   readonly onView: (view: FleetView) => void;
 }
 
-/** Puts the view together. */
+/** Merges its sources into a {@link FleetView}. */
 export class FleetTask extends Task<FleetMessage> {
   readonly #options: FleetOptions;
   #listed: readonly ListedVm[] = [];
@@ -65,7 +65,7 @@
   readonly #coldTargets = new Set<TargetId>();
   #drainedVms: ReadonlySet<string> = new Set();
   #drainedZones: ReadonlySet<string> = new Set();
-  #selfLeaving = false;
+  #isSelfLeaving = false;
   #view: FleetView = { vms: [], targets: [] };
   #signature = "";
 
@@ -78,23 +78,23 @@
     return this.#view;
   }
 
-  /** When the platform's list was last read, on the monotonic clock. */
+  /** Time of the last read of the platform's list, on the monotonic clock. */
   get listedAt(): number {
     return this.#listedAt;
   }
 
-  /** Whether the platform's list was ever seen. */
+  /** Whether the platform's list has been read at least once. */
   get hasList(): boolean {
     return this.#hasList;
   }
 
-  /** Where a VM's listener for peers is. */
+  /** Address of a VM's peer listener. */
   peerAddress(vm: VmId): string | undefined {
     return this.#members.get(vm)?.address ??
       this.#view.vms.find((one) => one.id === vm)?.peer;
   }
 
-  /** The VM of an instance; undefined where no member has that instance. */
+  /** The member that runs an instance; undefined if there is none. */
   memberOf(instance: string): Member | undefined {
     for (const member of this.#members.values()) {
       if (member.instance === instance) {
@@ -146,7 +146,7 @@
         }
         break;
       case "self-leaving":
-        this.#selfLeaving = true;
+        this.#isSelfLeaving = true;
         break;
     }
     this.#update();
@@ -165,7 +165,10 @@
     const view: FleetView = {
       vms: this.#listed
         .filter((one) => one.role === "entry")
-        .map((one) => ({ ...one, belief: this.#beliefOf(one) })),
+        .map((one) => ({
+          ...one,
+          effectiveState: this.#effectiveStateOf(one),
+        })),
       targets: this.#listed
         .filter((one) => one.role === "target")
         .map((one) => ({
@@ -183,11 +186,11 @@
   }
 
   /**
-   * Heartbeats know better than the list, which lags; but the list is believed
-   * where it says that a VM is leaving, since that is never said in error.
+   * Membership takes precedence over the list, which lags, except where the list
+   * shows a VM as leaving: that is never wrong.
    */
-  #beliefOf(entry: ListedEntry): VmStatus["state"] {
-    if (entry.id === this.#options.self && this.#selfLeaving) {
+  #effectiveStateOf(entry: ListedEntry): VmStatus["state"] {
+    if (entry.id === this.#options.self && this.#isSelfLeaving) {
       return "leaving";
     }
     const state = this.#members.get(entry.id)?.state ?? "joined";
--- a/packages/daemon/src/fleet_entries.ts
+++ b/packages/daemon/src/fleet_entries.ts
@@ -1,5 +1,6 @@
 /**
- * The fleet in the words of the decisions and the pools: pure views of one view.
+ * Pure conversions of a fleet view into the inputs of steering, planning and the
+ * connection pools.
  *
  * @module
  */
@@ -9,17 +10,17 @@
 import type { RegionId, ServiceId, TargetId } from "@poplarthread/ids";
 import type { FleetView } from "./fleet.ts";
 
-/** Entry VMs as the decisions know them. */
+/** Entry VMs as input of steering and planning. */
 export function toVmEntries(view: FleetView): readonly VmEntry[] {
-  return view.vms.map(({ id, region, zone, belief }) => ({
+  return view.vms.map(({ id, region, zone, effectiveState }) => ({
     vm: id,
     region,
     zone,
-    live: belief !== "dead" && belief !== "leaving",
+    live: effectiveState !== "dead" && effectiveState !== "leaving",
   }));
 }
 
-/** Targets as the decisions know them. */
+/** Targets as input of steering and planning. */
 export function toTargetEntries(view: FleetView): readonly TargetEntry[] {
   return view.targets.map(({ id, service, region, zone, leaving, cold }) => ({
     target: id,
@@ -31,7 +32,7 @@
   }));
 }
 
-/** The planner takes what is drained for leaving. */
+/** Targets as input of planning, which treats drained targets as leaving. */
 export function targetsToPlan(
   view: FleetView,
   { drains }: Configuration,
@@ -51,32 +52,33 @@
   readonly connections: number;
 }
 
-/** Each live VM takes an equal share of the connections that a target accepts. */
+/** Divides the connections that each target accepts equally among the VMs that are not dead. */
 export function sharedConnections(
   view: FleetView,
   preset: Preset,
 ): readonly TargetConnections[] {
-  const alive = view.vms.filter(({ belief }) => belief !== "dead").length;
-  const most = new Map<ServiceId, number>(
+  const aliveCount =
+    view.vms.filter(({ effectiveState }) => effectiveState !== "dead").length;
+  const maxConnections = new Map<ServiceId, number>(
     preset.services.map(({ id, connectionsPerTarget }) => [
       id,
-      Math.max(1, Math.floor(connectionsPerTarget / Math.max(1, alive))),
+      Math.max(1, Math.floor(connectionsPerTarget / Math.max(1, aliveCount))),
     ]),
   );
   return view.targets.flatMap(({ id, address, service }) => {
-    const connections = most.get(service);
+    const connections = maxConnections.get(service);
     return connections === undefined ? [] : [{ id, address, connections }];
   });
 }
 
-/** Whether each region is lost: all its VMs are dead by their heartbeats. */
+/** Whether each region is lost, which means that membership holds all its VMs dead. */
 export function regionStates(
   view: FleetView,
 ): readonly { readonly region: RegionId; readonly lost: boolean }[] {
   const isLost = new Map<RegionId, boolean>();
-  for (const { region, belief } of view.vms) {
-    const others = isLost.get(region) ?? true;
-    isLost.set(region, others && belief === "dead");
+  for (const { region, effectiveState } of view.vms) {
+    const othersLost = isLost.get(region) ?? true;
+    isLost.set(region, othersLost && effectiveState === "dead");
   }
   return [...isLost].map(([region, lost]) => ({ region, lost }));
 }
--- a/packages/daemon/src/in_force_value.ts
+++ b/packages/daemon/src/in_force_value.ts
@@ -1,6 +1,6 @@
 /**
- * The value of the versioned configuration, and the rows that stand beside it
- * in the table.
+ * The stored value of the versioned configuration, and the rows that the table
+ * stores with it.
  *
  * @module
  */
@@ -15,25 +15,25 @@
 import type { InForce, Json, Write } from "@poplarthread/coordination";
 import type { PresetId } from "@poplarthread/ids";
 
-/** What the row `config/in-force` holds beside its revision. */
+/** Content of the row `config/in-force`, without its revision. */
 export interface InForceValue {
   readonly preset: Preset;
   readonly presetVersion: number;
   readonly drains: readonly DrainSubject[];
-  /** The change that led here, in short; the audit trail shows it. */
+  /** Summary of the change that produced this value, for the audit trail. */
   readonly change: ChangeSummary;
 }
 
-/** The same value, as the table's interface types it. */
+/** The same value, typed for the table's interface. */
 export type InForceJson = InForceValue & { readonly [name: string]: Json };
 
 /** Prefix of the rows that hold each preset's latest version. */
 export const LATEST_PREFIX = "preset-latest/";
 const VERSION_PREFIX = "preset-version/";
-/** As many digits as revisions have: versions never outnumber them. */
+/** As many digits as in keys of revisions, since there are never more versions than revisions. */
 const VERSION_DIGITS = 12;
 
-/** Key of the latest version of a preset. */
+/** Key of the row that holds the latest version of a preset. */
 export function latestKey(preset: PresetId): string {
   return LATEST_PREFIX + preset;
 }
@@ -43,7 +43,7 @@
   return `${VERSION_PREFIX}${preset}/`;
 }
 
-/** Key of one version of a preset. */
+/** Key of the row that holds one version of a preset. */
 export function versionKey(preset: PresetId, version: number): string {
   return versionsPrefix(preset) + String(version).padStart(VERSION_DIGITS, "0");
 }
@@ -58,7 +58,7 @@
   ];
 }
 
-/** The value that puts a configuration in force. */
+/** The value to store to put a configuration in force. */
 export function inForceValue(
   configuration: Configuration,
   change: ChangeSummary,
@@ -67,7 +67,7 @@
   return { preset, presetVersion, drains, change } as unknown as InForceJson;
 }
 
-/** What is in force, as the rest of the daemon uses it. */
+/** Converts the stored value into the configuration that the daemon uses. */
 export function configurationOf(inForce: InForce<InForceJson>): Configuration {
   const { preset, presetVersion, drains } = inForce.value;
   return { revision: inForce.revision, preset, presetVersion, drains };
--- a/packages/daemon/src/lookups.ts
+++ b/packages/daemon/src/lookups.ts
@@ -1,5 +1,5 @@
 /**
- * Look-ups: which entry VMs a caller should use, best first.
+ * Look-ups: ranks the entry VMs that a caller should use, best first.
  *
  * @module
  */
@@ -9,67 +9,67 @@
 import type { RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import type { LookupResponse, LookupVm } from "@poplarthread/operator-api";
 
-/** What a ranking looks at. */
+/** Inputs of a ranking. */
 export interface LookupInput {
   readonly preset: Preset;
   /** VMs that may be named: live, not leaving, not drained. */
   readonly vms: readonly LookupVm[];
-  /** The VM that answers. */
+  /** Location of the VM that responds. */
   readonly self: { readonly region: RegionId; readonly zone: ZoneId };
 }
 
 /**
- * Most VMs in one answer: two to use in each zone near the caller and some of
+ * Maximum number of VMs in a response: two in each zone near the caller and some of
  * another region, in less than 2 KB.
  */
-const MOST_VMS = 12;
-/** Places kept for VMs of other regions, so that a region's loss leaves some. */
-const OTHER_REGIONS = 4;
+const MAX_VMS = 12;
+/** Entries reserved for VMs of other regions, so that some remain when a region is lost. */
+const OTHER_REGION_SLOTS = 4;
 
-/** The answer for callers in `zone`. */
+/** The response for callers in `zone`. */
 export function rankVms(input: LookupInput, zone: ZoneId): LookupResponse {
   const { preset, vms } = input;
   const region = regionOf(preset, zone) ?? input.self.region;
-  const costs = new Map(
-    vms.map((vm) => [vm.vm, delayTo(preset, region, vm.region)]),
+  const delaysMs = new Map(
+    vms.map((vm) => [vm.vm, delayMsTo(preset, region, vm.region)]),
   );
   const ranked = vms.toSorted((a, b) =>
     Number(b.zone === zone) - Number(a.zone === zone) ||
     Number(b.region === region) - Number(a.region === region) ||
-    costs.get(a.vm)! - costs.get(b.vm)! ||
-    // The same everywhere, yet another order for each zone: else every caller
-    // of a region would go to the same VM of its neighbour first.
-    spread(zone, a.vm) - spread(zone, b.vm)
+    delaysMs.get(a.vm)! - delaysMs.get(b.vm)! ||
+    // The same order on all VMs, but a different one for each zone: otherwise all
+    // callers of a region would use the same VM of a neighbouring region first.
+    zoneHash(zone, a.vm) - zoneHash(zone, b.vm)
   );
   return {
-    vms: cutToSpan(ranked, preset.lookup.regions),
+    vms: limitAcrossRegions(ranked, preset.lookup.regions),
     lifetimeMs: preset.lookup.lifetimeMs,
   };
 }
 
-/** Keeps the best VMs, and among them some of `regions` regions at least. */
-function cutToSpan(
+/** Truncates the list to the best VMs, with VMs of at least `regions` regions among them. */
+function limitAcrossRegions(
   ranked: readonly LookupVm[],
   regions: number,
 ): readonly LookupVm[] {
-  if (ranked.length <= MOST_VMS) {
+  if (ranked.length <= MAX_VMS) {
     return ranked;
   }
-  const near = ranked.slice(0, MOST_VMS - OTHER_REGIONS);
-  const spanned = new Set(near.map((vm) => vm.region));
-  const firsts: LookupVm[] = [];
+  const near = ranked.slice(0, MAX_VMS - OTHER_REGION_SLOTS);
+  const coveredRegions = new Set(near.map((vm) => vm.region));
+  const nearestOfRegions: LookupVm[] = [];
   for (const vm of ranked) {
-    if (spanned.size < regions && !spanned.has(vm.region)) {
-      spanned.add(vm.region);
-      firsts.push(vm);
+    if (coveredRegions.size < regions && !coveredRegions.has(vm.region)) {
+      coveredRegions.add(vm.region);
+      nearestOfRegions.push(vm);
     }
   }
   const rest = ranked.filter((vm) =>
-    !near.includes(vm) && !firsts.includes(vm)
+    !near.includes(vm) && !nearestOfRegions.includes(vm)
   );
-  return [...near, ...firsts, ...rest].slice(
+  return [...near, ...nearestOfRegions, ...rest].slice(
     0,
-    Math.max(MOST_VMS, near.length + firsts.length),
+    Math.max(MAX_VMS, near.length + nearestOfRegions.length),
   );
 }
 
@@ -77,7 +77,7 @@
   return preset.regions.find((one) => one.zones.includes(zone))?.id;
 }
 
-function delayTo(preset: Preset, from: RegionId, to: RegionId): number {
+function delayMsTo(preset: Preset, from: RegionId, to: RegionId): number {
   if (from === to) {
     return 0;
   }
@@ -85,7 +85,7 @@
   return link?.oneWayMs ?? Infinity;
 }
 
-function spread(zone: ZoneId, vm: VmId): number {
+function zoneHash(zone: ZoneId, vm: VmId): number {
   let hash = 0x811c9dc5;
   for (const char of `${zone} ${vm}`) {
     hash = Math.imul(hash ^ char.charCodeAt(0), 0x01000193);
@@ -93,41 +93,43 @@
   return hash >>> 0;
 }
 
-/** An answer as bytes, made once for all who ask. */
+/** A serialized response, built once for all callers of a zone. */
 export interface LookupPage {
   readonly lines: readonly string[];
-  /** One byte a character, so that it leaves in one write with its header. */
+  /** Latin-1, one byte per character, so that it is sent in one write with its headers. */
   readonly body: string;
 }
 
-/** The pages of all zones, remade whenever VMs or preset change. */
+/** The serialized responses of all zones, rebuilt whenever the VMs or the preset change. */
 export class Lookups {
   #input: LookupInput | undefined;
-  #own: LookupPage | undefined;
+  #localPage: LookupPage | undefined;
   readonly #byZone = new Map<string, LookupPage>();
 
-  /** Takes what the answers rest on; undefined until something is in force. */
+  /** Sets the inputs and rebuilds all responses. */
   set(input: LookupInput): void {
     this.#input = input;
     this.#byZone.clear();
-    this.#own = toPage(rankVms(input, input.self.zone));
+    this.#localPage = toPage(rankVms(input, input.self.zone));
     for (const zone of input.preset.regions.flatMap((one) => one.zones)) {
       this.#byZone.set(zone, toPage(rankVms(input, zone)));
     }
   }
 
-  /** The answer for a caller that names no zone; undefined before `set`. */
+  /** The response for a caller that names no zone; undefined before `set`. */
   get ownPage(): LookupPage | undefined {
-    return this.#own;
+    return this.#localPage;
   }
 
-  /** The answer for callers of a zone; for an unknown one, that of this VM's. */
+  /** The response for callers of a zone, or of this VM's zone if it is unknown. */
   page(zone: string | undefined): LookupPage | undefined {
-    return zone === undefined ? this.#own : this.#byZone.get(zone) ?? this.#own;
+    return zone === undefined
+      ? this.#localPage
+      : this.#byZone.get(zone) ?? this.#localPage;
   }
 
-  /** The same answer as a value. */
-  answer(zone: ZoneId | undefined): LookupResponse {
+  /** The same response, not serialized. */
+  response(zone: ZoneId | undefined): LookupResponse {
     const input = this.#input;
     return input === undefined
       ? { vms: [], lifetimeMs: 1_000 }
@@ -135,10 +137,10 @@
   }
 }
 
-function toPage(answer: LookupResponse): LookupPage {
-  const body = Buffer.from(JSON.stringify(answer)).toString("latin1");
-  // Rounded down: a shared cache must not keep it for longer than it holds.
-  const seconds = Math.floor(answer.lifetimeMs / 1_000);
+function toPage(response: LookupResponse): LookupPage {
+  const body = Buffer.from(JSON.stringify(response)).toString("latin1");
+  // Rounded down so that no cache keeps the response beyond its lifetime.
+  const seconds = Math.floor(response.lifetimeMs / 1_000);
   return {
     lines: [
       "content-type",
--- a/packages/daemon/src/lookups_test.ts
+++ b/packages/daemon/src/lookups_test.ts
@@ -36,8 +36,11 @@
 
 test("the nearest VMs come first: zone, then region, then delay", () => {
   const self = { region: region("south"), zone: "south-1" as ZoneId };
-  const answer = rankVms({ preset, vms: vmsOf(1), self }, "north-2" as ZoneId);
-  expect(answer.vms.map(({ vm }) => vm)).toEqual([
+  const response = rankVms(
+    { preset, vms: vmsOf(1), self },
+    "north-2" as ZoneId,
+  );
+  expect(response.vms.map(({ vm }) => vm)).toEqual([
     "north-2-1",
     "north-1-1",
     expect.stringMatching(/^west-/),
@@ -47,13 +50,16 @@
   ]);
 });
 
-test("an answer is short and still outlives the loss of the caller's region", () => {
-  // A region has more VMs than an answer holds. If all of them were of that
-  // region, its callers would have nowhere to go when it is lost.
+test("a response is limited in length and names VMs of a second region", () => {
+  // A region has more VMs than a response holds. If all of them were of that region,
+  // its callers would have no VM to use when the region is lost.
   const self = { region: region("north"), zone: "north-1" as ZoneId };
-  const answer = rankVms({ preset, vms: vmsOf(20), self }, "north-1" as ZoneId);
-  expect(answer.vms).toHaveLength(12);
-  expect(new Set(answer.vms.map((vm) => vm.region))).toEqual(
+  const response = rankVms(
+    { preset, vms: vmsOf(20), self },
+    "north-1" as ZoneId,
+  );
+  expect(response.vms).toHaveLength(12);
+  expect(new Set(response.vms.map((vm) => vm.region))).toEqual(
     new Set(["north", "west"]),
   );
 });
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -36,11 +36,11 @@
   },
 );
 
-/** Shortest token that peers may share. */
-const MIN_PEER_TOKEN = 8;
-/** Something that settings name cannot be read. */
+/** Minimum length of the peers' shared token. */
+const MIN_PEER_TOKEN_CHARS = 8;
+/** The settings, or a file that they name, are invalid or cannot be read. */
 const EXIT_BAD_INPUT = 2;
-/** The daemon could not go on. */
+/** The daemon cannot continue. */
 const EXIT_FAILED = 1;
 
 /** Reads the settings and runs the daemon until a signal stops it. */
@@ -60,7 +60,7 @@
   }
 }
 
-/** Undefined where something is wrong; all findings are printed by then. */
+/** Reads settings and secrets; prints all findings and returns undefined on an error. */
 function readInput(
   file: string,
 ): { settings: Settings; secrets: Secrets } | undefined {
@@ -90,12 +90,12 @@
 
 function readSecrets({ secrets }: Settings): Secrets {
   const operatorTokens = readFileSync(secrets.operatorTokensFile, "utf8");
-  // Checked here already, so that `--check` finds a bad file as well.
+  // Parsed here so that `--check` reports an invalid file too.
   new OperatorTokens(operatorTokens);
   const peerToken = readFileSync(secrets.peerTokenFile, "utf8").trim();
-  if (peerToken.length < MIN_PEER_TOKEN) {
+  if (peerToken.length < MIN_PEER_TOKEN_CHARS) {
     throw new TokensError(
-      `Cannot use the peers' token: shorter than ${MIN_PEER_TOKEN} characters`,
+      `Cannot use the peers' token: shorter than ${MIN_PEER_TOKEN_CHARS} characters`,
     );
   }
   return { operatorTokens, peerToken };
--- a/packages/daemon/src/membership_task.ts
+++ b/packages/daemon/src/membership_task.ts
@@ -1,5 +1,5 @@
 /**
- * Runs membership: heartbeats to peers, and facts that all VMs should know.
+ * Runs membership: heartbeats to peers, and the dissemination of facts to all VMs.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 import type { ListedEntry } from "./platform_client.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type MembershipTaskMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: MembershipMessage }
@@ -26,10 +26,10 @@
   | { readonly kind: "revision"; readonly revision: number }
   | { readonly kind: "leave" };
 
-/** Construction of the task. */
+/** Options of {@link MembershipTask}. */
 export interface MembershipTaskOptions {
   readonly self: PeerId & { readonly region: RegionId; readonly zone: ZoneId };
-  /** Address of this VM's own listener, until the list says how peers reach it. */
+  /** Address of this VM's peer listener, used until the list shows the one that peers use. */
   readonly address: string;
   readonly seed: number;
   readonly send: (
@@ -37,16 +37,16 @@
     address: string,
     message: MembershipMessage,
   ) => void;
-  /** Every effect but `send`. */
+  /** Called with every effect except `send`. */
   readonly onEffect: (
     effect: Exclude<MembershipEffect, { kind: "send" }>,
   ) => void;
 }
 
-/** What the core asks for. */
+/** The tick interval that {@link Membership} expects. */
 const TICK_MS = 100;
 
-/** Owns the membership core. */
+/** Owns the {@link Membership} state machine. */
 export class MembershipTask extends Task<MembershipTaskMessage> {
   readonly #options: MembershipTaskOptions;
   #core: Membership | undefined;
@@ -111,11 +111,11 @@
   }
 
   #listed(entries: readonly ListedEntry[], now: number): void {
-    const own = entries.find((one) => one.id === this.#options.self.vm);
-    if (own !== undefined && own.peer !== this.#address) {
-      // Peers reach this VM under another address than the one it binds, as
-      // behind a forwarder: what it tells of itself has to be that one.
-      this.#address = own.peer;
+    const selfEntry = entries.find((one) => one.id === this.#options.self.vm);
+    if (selfEntry !== undefined && selfEntry.peer !== this.#address) {
+      // Peers reach this VM at another address than the one it binds, for example
+      // behind a forwarder, so that it must announce the listed address.
+      this.#address = selfEntry.peer;
       this.#start();
     }
     const list = entries.map((one) => ({
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -7,10 +7,10 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
 /**
- * Bounds in seconds. 0.11 and 0.04 are the two deployments' round trips between
- * regions; the rest spans 1 ms (a local answer) to 10 s (the longest wait).
+ * 0.11 s and 0.04 s are the two deployments' round trips between regions; the others
+ * range from 1 ms (a local reply) to 10 s (the longest wait).
  */
-const DURATION_BOUNDS = [
+const DURATION_BUCKETS_S = [
   0.001,
   0.0025,
   0.005,
@@ -27,27 +27,27 @@
   10,
 ];
 
-/** One series of the request histogram. */
+/** One labelled series of the request histogram. */
 interface Series {
   observe(value: number): void;
 }
 
-/** Everything that is counted. */
+/** All metrics of the daemon. */
 export class Metrics {
   readonly registry = new Registry();
   readonly #durations = new Histogram({
     name: "poplarthread_request_duration_seconds",
-    help: "Time from a request's header to its final answer",
+    help: "Time from a request's header to its final response",
     labelNames: ["class", "outcome"],
-    buckets: DURATION_BOUNDS,
+    buckets: DURATION_BUCKETS_S,
     registers: [this.registry],
   });
-  readonly #series = new Map<string, Series>();
+  readonly #durationSeries = new Map<string, Series>();
   readonly #attemptSeries = new Map<string, { inc(): void }>();
 
   /**
-   * Look-ups answered. A plain number, handed to the library at each scrape: a
-   * look-up costs so little that the library's counter would show in it.
+   * Look-ups answered. A plain number, copied to the gauge at each scrape: the
+   * library's counter would noticeably slow down look-ups, which are very cheap.
    */
   lookups = 0;
   readonly #lookups: Gauge = new Gauge({
@@ -76,12 +76,12 @@
   });
   readonly inFlight = new Gauge({
     name: "poplarthread_requests_in_flight",
-    help: "Requests without their final answer",
+    help: "Requests without their final response",
     registers: [this.registry],
   });
   readonly revision = new Gauge({
     name: "poplarthread_revision_in_force",
-    help: "Revision of the configuration in force here",
+    help: "Revision of the configuration in force on this VM",
     registers: [this.registry],
   });
   readonly configurationAge = new Gauge({
@@ -91,7 +91,7 @@
   });
   readonly planSequence = new Gauge({
     name: "poplarthread_plan_sequence",
-    help: "Sequence of the plan in force here",
+    help: "Sequence of the plan in force on this VM",
     registers: [this.registry],
   });
   readonly members = new Gauge({
@@ -103,7 +103,7 @@
   readonly outage = new Gauge({
     name: "poplarthread_outage_seconds",
     help:
-      "Time for which a service of the platform is out of reach; 0 if it is not",
+      "Time for which a service of the platform has been unreachable; 0 if it is reachable",
     labelNames: ["subject"],
     registers: [this.registry],
   });
@@ -138,10 +138,10 @@
   /** Counts one finished request. */
   requestEnded(className: string, outcome: string, seconds: number): void {
     const key = `${className} ${outcome}`;
-    let series = this.#series.get(key);
+    let series = this.#durationSeries.get(key);
     if (series === undefined) {
       series = this.#durations.labels(className, outcome);
-      this.#series.set(key, series);
+      this.#durationSeries.set(key, series);
     }
     series.observe(seconds);
   }
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon, for programs that run it inside a process of their own.
+ * The daemon, for programs that run it in their own process.
  *
  * @module
  */
--- a/packages/daemon/src/operator_backend.ts
+++ b/packages/daemon/src/operator_backend.ts
@@ -1,6 +1,6 @@
 /**
- * What the operator's listener may ask of the daemon and tell it: plain values
- * that can be answered as JSON, without any knowledge of HTTP.
+ * Operations of the daemon that the operators' listener uses. They return plain
+ * values that can be sent as JSON, and do not depend on HTTP.
  *
  * @module
  */
@@ -19,41 +19,41 @@
   Status,
 } from "@poplarthread/operator-api";
 
-/** A change with who wants it; both go into the audit trail. */
+/** A change and who requests it; both are written to the audit trail. */
 export interface OperatorChange extends ChangeRequest {
   /** Name of the operator, from the token. */
   readonly who: string;
 }
 
 /**
- * The daemon as the operator's listener sees it. Calls that need the table
- * reject with a `TableError` when it is out of reach, except `accept`, which
- * says so in its outcome.
+ * Interface of the daemon to the operators' listener. Calls that need the table
+ * reject with a `TableError` if it is unreachable, except `accept`, which returns
+ * that as its outcome.
  */
 export interface OperatorBackend {
   status(): Status;
-  /** What is in force here; undefined before the first is known. */
+  /** The configuration in force on this VM; undefined before the first one. */
   configuration(): Configuration | undefined;
   accept(change: OperatorChange): Promise<ChangeResponse>;
   audit(range: AuditRange): Promise<readonly AuditEntry[]>;
   presets(): Promise<readonly PresetSummary[]>;
-  /** The latest version, or the one asked for; undefined where there is none. */
+  /** The given version of a preset, or the latest; undefined if there is none. */
   preset(id: PresetId, version?: number): Promise<PresetVersion | undefined>;
-  /** The audit entries of its edits and switches, newest first. */
+  /** The audit entries that wrote versions of a preset, newest first. */
   presetHistory(id: PresetId): Promise<readonly AuditEntry[]>;
-  /** The answer that callers in `clientZone` get; without it, in this VM's zone. */
+  /** The response for callers in `clientZone`, or in this VM's zone if omitted. */
   lookup(clientZone?: ZoneId): LookupResponse;
   explain(request: ExplainRequest): Explanation;
 }
 
-/** What a probe answers. */
+/** Response of a probe. */
 export interface ProbeAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** The probes that the operator's listener serves without a token. */
+/** Handlers of the probes that the operators' listener serves without a token. */
 export interface ProbeHandlers {
   /** `/healthz`: 200 while the supervisor tree runs. */
   health(): ProbeAnswer;
--- a/packages/daemon/src/operator_task.ts
+++ b/packages/daemon/src/operator_task.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps the operator's listener up under supervision.
+ * Runs the operators' listener as a supervised task.
  *
  * @module
  */
@@ -18,14 +18,14 @@
 import type { Metrics } from "./metrics.ts";
 import { type Message, Task } from "./task.ts";
 
-/** Construction of the task. */
+/** Options of {@link OperatorTask}. */
 export interface OperatorTaskOptions {
   readonly backend: OperatorBackend;
   readonly probes: ProbeHandlers;
   readonly listener: OperatorListenerOptions;
 }
 
-/** Owns the operator's listener. */
+/** Owns the operators' listener. */
 export class OperatorTask extends Task<Message> {
   readonly #options: OperatorTaskOptions;
   #listener: OperatorListener | undefined;
@@ -35,7 +35,7 @@
     this.#options = options;
   }
 
-  /** Port that it listens on. */
+  /** Port of the listener; 0 while it is closed. */
   get port(): number {
     return this.#listener?.port ?? 0;
   }
@@ -54,15 +54,15 @@
   }
 }
 
-/** What the probes rest on. */
+/** Sources of the probe responses. */
 export interface ProbeSources {
   readonly metrics: Metrics;
   readonly beforeScrape: () => void;
-  /** Why the VM is not ready; undefined where it is. */
+  /** Why the VM is not ready; undefined if it is ready. */
   readonly notReady: () => string | undefined;
 }
 
-/** Makes the probes. */
+/** Creates the handlers of the probes. */
 export function createProbes(sources: ProbeSources): ProbeHandlers {
   return {
     health: () => text(200, "ok\n"),
--- a/packages/daemon/src/outages.ts
+++ b/packages/daemon/src/outages.ts
@@ -1,5 +1,5 @@
 /**
- * What cannot be reached now, and since when.
+ * Tracks which services of the platform are unreachable, and since when.
  *
  * @module
  */
@@ -16,7 +16,7 @@
   reason: string;
 }
 
-/** Keeps the outages; a first failure opens one, a first success ends it. */
+/** Tracks outages: the first failure begins one, the first success ends it. */
 export class Outages {
   readonly #open = new Map<PlatformSubject, Outage>();
   readonly #metrics: Metrics;
@@ -50,7 +50,7 @@
     this.#metrics.outage.set({ subject }, (now - outage.since) / 1_000);
   }
 
-  /** Whether a subject is out of reach now. */
+  /** Whether a service is unreachable. */
   isOut(subject: PlatformSubject): boolean {
     return this.#open.has(subject);
   }
--- a/packages/daemon/src/plan_task.ts
+++ b/packages/daemon/src/plan_task.ts
@@ -1,6 +1,6 @@
 /**
- * The plan: follows the one in force, and makes the next one while this VM
- * holds the planner's lease.
+ * Follows the plan in force, and makes the next one while this VM holds the
+ * planner's lease.
  *
  * @module
  */
@@ -33,13 +33,13 @@
 import { type PlanInputs, Planning } from "./planning.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type PlanMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: DisseminationMessage }
   | { readonly kind: "term"; readonly message: TermMessage }
   | { readonly kind: "members"; readonly members: readonly Ranked[] }
-  /** What a peer follows, told to a VM that has just started. */
+  /** The plan that a peer follows, received in response to a query. */
   | { readonly kind: "known"; readonly stored: StoredPlan }
   | {
     readonly kind: "report";
@@ -47,49 +47,49 @@
     readonly report: PlannerReport;
   };
 
-/** Construction of the task. */
+/** Options of {@link PlanTask}. */
 export interface PlanTaskOptions {
   readonly self: PeerId & { readonly zone: ZoneId; readonly region: RegionId };
   readonly table: Table;
-  /** Undefined while nothing is in force here, or the fleet is not known. */
+  /** Undefined while no configuration is in force on this VM or the fleet is unknown. */
   readonly inputs: () => PlanInputs | undefined;
-  /** What this VM itself would report to the planner. */
-  readonly ownReport: () => PlannerReport;
+  /** The report of this VM to the planner. */
+  readonly localReport: () => PlannerReport;
   readonly report: (to: VmId, report: PlannerReport) => void;
   readonly send: (to: VmId, message: DisseminationMessage) => void;
   readonly sendTerm: (to: VmId, message: TermMessage) => void;
-  /** Asks a VM for the plan it follows; it arrives as `known`. */
-  readonly fetchFrom: (vm: VmId) => void;
-  /** Asks every other VM that the platform lists; undefined for one that does not answer. */
-  readonly askAll: () => Promise<readonly (Known | undefined)[]>;
-  /** A plan is known and may be used for `validMs`; 0 where it may not. */
+  /** Requests the plan that a VM follows; the plan arrives as a `known` message. */
+  readonly fetchPlanFrom: (vm: VmId) => void;
+  /** Queries every other VM that the platform lists; undefined for each that does not respond. */
+  readonly queryAll: () => Promise<readonly (Known | undefined)[]>;
+  /** Called with a plan that may be used for `validMs`, or not at all if that is 0. */
   readonly onPlan: (plan: Plan, validMs: number) => void;
   readonly log: Log;
 }
 
 const PLAN_KEY = "plan/current";
 const TICK_MS = 100;
-/** A VM that follows no plan yet looks for one this often, as it serves nothing without. */
-const FIRST_STEP_MS = 250;
-/** VMs report, and the planner plans, this often; five reports fit into the time in which demand counts. */
-const STEP_MS = 2_000;
-/** A VM whose term has this little left looks into the table itself. */
-const LOW_TERM_MS = TERM_MS / 2;
-/** An unanswered question about the term; above two round trips of 110 ms. */
+/** Step interval of a VM without a plan, short since it serves no requests without one. */
+const INITIAL_STEP_INTERVAL_MS = 250;
+/** Interval at which VMs report and the planner plans; five reports fit into the time for which reported demand counts. */
+const STEP_INTERVAL_MS = 2_000;
+/** A VM whose term ends sooner than this reads the table itself. */
+const TERM_CHECK_THRESHOLD_MS = TERM_MS / 2;
+/** Retry interval of an unanswered term request; above two round trips of 110 ms. */
 const TERM_RETRY_MS = 300;
-const TERM_TIMES = { termMs: TERM_MS, retryMs: TERM_RETRY_MS };
-/** Two renewals may be lost; a planner's death costs at most this and a little. */
-const LEASE_MS = 6_000;
+const TERM_TIMING = { termMs: TERM_MS, retryMs: TERM_RETRY_MS };
+/** Outlasts two lost renewals; the crash of a planner delays planning by little more than this. */
+const LEASE_DURATION_MS = 6_000;
 /**
- * How long the very first plan waits for VMs that were not heard yet. Made for
- * the planner alone, it would give it every region's slots, which later plans
- * move a tenth at a time.
+ * How long the first plan waits for VMs that have not reported. A plan made for
+ * the planner's VM alone would allot it the slots of every region, and later plans
+ * move only a tenth of them at a time.
  */
-const FIRST_PLAN_WAIT_MS = 5_000;
-/** VMs that contend for the lease; the others would only read the table for nothing. */
-const CONTENDERS = 3;
+const MAX_FIRST_PLAN_WAIT_MS = 5_000;
+/** Only this many VMs compete for the lease, which saves table reads of the others. */
+const MAX_LEASE_CANDIDATES = 3;
 
-/** Owns the lease and the plan's tree of pushes. */
+/** Owns the planner's lease and the tree that disseminates the plan. */
 export class PlanTask extends Task<PlanMessage> {
   readonly #options: PlanTaskOptions;
   #planning = new Planning();
@@ -100,8 +100,8 @@
   /** When this VM wrote or first read the plan. */
   #storedAt = 0;
   #openedAt = 0;
-  #steppedAt = -Infinity;
-  #stepping = false;
+  #lastStepAt = -Infinity;
+  #isStepping = false;
   #members: readonly Ranked[] = [];
 
   constructor(options: PlanTaskOptions) {
@@ -116,12 +116,12 @@
     return this.#stored?.plan;
   }
 
-  /** What this VM tells a peer that has just started. */
+  /** The plan that this VM sends to a peer that queries it. */
   get known(): Pick<Known, "plan"> {
     return this.#stored === undefined ? {} : { plan: this.#stored };
   }
 
-  /** For how long the plan may still be used, in milliseconds; 0 where it may not. */
+  /** Remaining time for which the plan may be used; 0 if it may not be used. */
   get validMs(): number {
     const now = performance.now();
     return isTermValid(this.#term, now) ? this.#term.validUntil - now : 0;
@@ -131,16 +131,16 @@
     return this.#stored?.planner;
   }
 
-  /** Whether this VM plans now, as far as it knows. */
+  /** Whether this VM believes that it holds the planner's lease. */
   get planning(): boolean {
     return this.#lease?.token !== undefined;
   }
 
   protected override open(): void {
-    this.#stepping = false;
+    this.#isStepping = false;
     this.#openedAt = performance.now();
     this.#planning = new Planning();
-    this.#contend();
+    this.#updateCandidacy();
     this.sendEvery(TICK_MS, { kind: "tick" });
     this.#step();
   }
@@ -151,7 +151,7 @@
       case "tick":
         this.#perform(this.#tree.tick(now));
         this.#advanceTerm({ kind: "tick" });
-        if (now - this.#steppedAt >= this.#periodMs()) {
+        if (now - this.#lastStepAt >= this.#stepIntervalMs()) {
           this.#step();
         }
         return;
@@ -161,7 +161,7 @@
       case "members":
         this.#tree.setMembers(message.members);
         this.#members = message.members;
-        this.#contend();
+        this.#updateCandidacy();
         return;
       case "known":
         this.#adopt(message.stored);
@@ -170,74 +170,76 @@
         this.#advanceTerm({ kind: "message", message: message.message });
         return;
       case "report":
-        this.#planning.hear(message.from, message.report, now);
+        this.#planning.addReport(message.from, message.report, now);
         return;
     }
   }
 
-  /** Hands the lease over, so that the next planner need not wait for it to lapse. */
+  /** Releases the lease, so that the next planner does not wait for it to expire. */
   protected override async close(): Promise<void> {
     const lease = this.#lease;
     this.#lease = undefined;
     await lease?.stop();
   }
 
-  /** The first VMs by name; all see the same ones, without electing them. */
-  #candidates(): readonly VmId[] {
+  /** The first members by name, so that all VMs agree on them without an election. */
+  #leaseCandidates(): readonly VmId[] {
     return this.#members
       .filter((member) => member.state === "joined")
       .map(({ vm }) => vm)
       .sort()
-      .slice(0, CONTENDERS);
+      .slice(0, MAX_LEASE_CANDIDATES);
   }
 
-  #contend(): void {
-    const first = this.#candidates();
-    const contends = first.includes(this.#options.self.vm);
-    if (contends && this.#lease === undefined) {
+  #updateCandidacy(): void {
+    const candidates = this.#leaseCandidates();
+    const isCandidate = candidates.includes(this.#options.self.vm);
+    if (isCandidate && this.#lease === undefined) {
       this.#lease = new Lease(this.#options.table, {
         name: "planner",
         instance: this.#options.self.instance,
-        durationMs: LEASE_MS,
+        durationMs: LEASE_DURATION_MS,
       });
       this.#lease.start();
-    } else if (!contends && this.#lease !== undefined) {
+    } else if (!isCandidate && this.#lease !== undefined) {
       const lease = this.#lease;
       this.#lease = undefined;
       this.spawn(lease.stop());
     }
   }
 
-  #periodMs(): number {
-    return this.#stored === undefined ? FIRST_STEP_MS : STEP_MS;
+  #stepIntervalMs(): number {
+    return this.#stored === undefined
+      ? INITIAL_STEP_INTERVAL_MS
+      : STEP_INTERVAL_MS;
   }
 
   #step(): void {
-    this.#steppedAt = performance.now();
-    this.#report();
-    if (this.#stepping) {
+    this.#lastStepAt = performance.now();
+    this.#sendReports();
+    if (this.#isStepping) {
       return;
     }
-    this.#stepping = true;
+    this.#isStepping = true;
     this.spawn(
       this.#stepOnce().finally(() => {
-        this.#stepping = false;
+        this.#isStepping = false;
       }),
     );
   }
 
   /**
-   * Whoever may become the planner hears of this VM beforehand: a planner takes
-   * a VM that never reported for one that can hold nothing.
+   * Reports to all lease candidates as well as the planner, since a new planner
+   * allots no slots to a VM that has never reported to it.
    */
-  #report(): void {
-    const listeners = new Set(this.#candidates());
+  #sendReports(): void {
+    const recipients = new Set(this.#leaseCandidates());
     if (this.planner !== undefined) {
-      listeners.add(this.planner);
+      recipients.add(this.planner);
     }
-    listeners.delete(this.#options.self.vm);
-    for (const vm of listeners) {
-      this.#options.report(vm, this.#options.ownReport());
+    recipients.delete(this.#options.self.vm);
+    for (const vm of recipients) {
+      this.#options.report(vm, this.#options.localReport());
     }
   }
 
@@ -249,40 +251,43 @@
         await this.#followPlan();
       }
     } catch (err) {
-      // Without the table nobody writes a plan, and holders renew each other's terms.
+      // While the table is unavailable no plan can be written, and the holders renew
+      // each other's terms.
       if (!(err instanceof TableError)) {
         throw err;
       }
-      await this.#inherit();
+      await this.#inheritPlan();
     }
   }
 
   /**
-   * A daemon that was restarted while the table is away is not in the plan, so
-   * that its slots would idle until the table is back. It takes the place of its
-   * earlier instance if every other VM says that the plan is the newest and that
-   * nothing lent by that instance is in use any more.
+   * A daemon that restarts while the table is unavailable is not in the plan, and
+   * its slots would stay idle until the table is available again. It takes the place
+   * of its earlier instance if every other VM confirms that the plan is the newest
+   * and that it uses no slots lent by that instance.
    */
-  async #inherit(): Promise<void> {
+  async #inheritPlan(): Promise<void> {
     const { vm, instance } = this.#options.self;
-    const before = this.#stored?.holders.find((holder) => holder.vm === vm);
-    if (before === undefined || before.instance === instance) {
+    const earlierHolder = this.#stored?.holders.find((holder) =>
+      holder.vm === vm
+    );
+    if (earlierHolder === undefined || earlierHolder.instance === instance) {
       return;
     }
     const { sequence } = this.#stored!.plan;
-    const answers = await this.#options.askAll();
-    const isAgreed = answers.every((answer) =>
-      answer?.plan?.plan.sequence === sequence &&
-      !answer.lenders.includes(before.instance)
+    const responses = await this.#options.queryAll();
+    const allAgree = responses.every((response) =>
+      response?.plan?.plan.sequence === sequence &&
+      !response.lenders.includes(earlierHolder.instance)
     );
-    if (isAgreed) {
+    if (allAgree) {
       this.#advanceTerm({ kind: "inherit", sequence });
     }
   }
 
-  /** Readers look into the table; the others do so when nobody renews their term. */
+  /** Readers read the table; the other VMs do so only when their term is not renewed. */
   async #followPlan(): Promise<void> {
-    if (this.validMs < LOW_TERM_MS || this.#tree.isReader()) {
+    if (this.validMs < TERM_CHECK_THRESHOLD_MS || this.#tree.isReader()) {
       await this.#readPlan();
     }
   }
@@ -306,22 +311,23 @@
     if (inputs === undefined) {
       return;
     }
-    // The plan before comes from the table, not from memory: another planner
-    // may have written since this VM held the lease the last time.
+    // Reads the previous plan from the table, not from memory: another planner may
+    // have written one since this VM last held the lease.
     await this.#readPlan();
     const token = this.#lease?.token;
     if (token === undefined) {
       return;
     }
     const askedAt = performance.now();
-    this.#planning.hear(
+    this.#planning.addReport(
       this.#options.self,
-      this.#options.ownReport(),
+      this.#options.localReport(),
       askedAt,
     );
-    const isEarly = askedAt - this.#openedAt < FIRST_PLAN_WAIT_MS;
+    const isEarly = askedAt - this.#openedAt < MAX_FIRST_PLAN_WAIT_MS;
     if (
-      this.#stored === undefined && isEarly && !this.#planning.knowsAll(inputs)
+      this.#stored === undefined && isEarly &&
+      !this.#planning.hasAllInstances(inputs)
     ) {
       return;
     }
@@ -364,13 +370,13 @@
           this.#adopt(JSON.parse(effect.change.body) as StoredPlan);
           break;
         case "load-snapshot":
-          this.#steppedAt = -Infinity;
+          this.#lastStepAt = -Infinity;
           break;
       }
     }
   }
 
-  /** Only ever a higher sequence: an old plan must not come back by a slow path. */
+  /** Accepts only a higher sequence, so that a delayed message cannot restore an old plan. */
   #adopt(stored: StoredPlan): void {
     const { sequence } = stored.plan;
     if (sequence <= (this.#stored?.plan.sequence ?? 0)) {
@@ -379,16 +385,16 @@
     this.#stored = stored;
     this.#storedAt = performance.now();
     this.#advanceTerm({ kind: "plan", sequence, holders: stored.holders });
-    this.#tellPlan();
+    this.#notifyPlan();
   }
 
   #advanceTerm(event: TermEvent): void {
     const before = this.#term;
-    const ctx = { now: performance.now(), times: TERM_TIMES };
+    const ctx = { now: performance.now(), times: TERM_TIMING };
     const { state, effects } = advanceTerm(before, event, ctx);
     this.#term = state;
     if (state.validUntil > before.validUntil) {
-      this.#tellPlan();
+      this.#notifyPlan();
     }
     for (const effect of effects) {
       switch (effect.kind) {
@@ -396,13 +402,13 @@
           this.#options.sendTerm(effect.to, effect.message);
           break;
         case "outdated":
-          this.#options.fetchFrom(effect.vm);
+          this.#options.fetchPlanFrom(effect.vm);
           break;
       }
     }
   }
 
-  #tellPlan(): void {
+  #notifyPlan(): void {
     if (this.#stored !== undefined) {
       this.#options.onPlan(this.#stored.plan, this.validMs);
     }
--- a/packages/daemon/src/plan_task_test.ts
+++ b/packages/daemon/src/plan_task_test.ts
@@ -20,25 +20,26 @@
 }));
 
 class FailingTable extends MemoryTable {
-  isAway = false;
+  isUnavailable = false;
 
   override read(keys: readonly string[]) {
-    return this.isAway
+    return this.isUnavailable
       ? Promise.reject(new TableError("away", "none"))
       : super.read(keys);
   }
 }
 
-/** Five VMs of one zone that reach each other but for those that are cut off. */
+/** Five VMs of one zone; those in `isolated` reach each other but none of the others. */
 function fleet() {
   const table = new FailingTable();
-  const cut = new Set<VmId>();
+  const isolated = new Set<VmId>();
   const plans = new Map<VmId, { plan: Plan; endsAt: number }>();
-  const lives = new Map<VmId, number>(NAMES.map((vm) => [vm, 1]));
+  const runs = new Map<VmId, number>(NAMES.map((vm) => [vm, 1]));
   const tasks = new Map<VmId, PlanTask>();
-  const reaches = (from: VmId, to: VmId) => cut.has(from) === cut.has(to);
+  const reaches = (from: VmId, to: VmId) =>
+    isolated.has(from) === isolated.has(to);
   function create(vm: VmId): PlanTask {
-    const instance = `${vm}.${lives.get(vm)}` as InstanceId;
+    const instance = `${vm}.${runs.get(vm)}` as InstanceId;
     const task: PlanTask = new PlanTask({
       self: { vm, instance, zone: ZONE, region: REGION },
       table,
@@ -50,11 +51,11 @@
         instances: new Map<VmId, InstanceId>(
           NAMES.map((
             name,
-          ) => [name, `${name}.${lives.get(name)}` as InstanceId]),
+          ) => [name, `${name}.${runs.get(name)}` as InstanceId]),
         ),
         listed: new Set(NAMES),
       }),
-      ownReport: () => ({
+      localReport: () => ({
         sequence: task.plan?.sequence ?? 0,
         demand: [],
         lenders: [],
@@ -70,11 +71,11 @@
           tasks.get(to)!.send({ kind: "term", message });
         }
       },
-      fetchFrom: (from) => {
+      fetchPlanFrom: (from) => {
         const { plan: stored } = tasks.get(from)!.known;
         task.send({ kind: "known", stored: stored! });
       },
-      askAll: () =>
+      queryAll: () =>
         Promise.resolve(
           NAMES.filter((name) => name !== vm).map((name) =>
             reaches(vm, name)
@@ -104,28 +105,28 @@
   }));
   return {
     table,
-    cut,
+    isolated,
     async start(): Promise<void> {
       for (const vm of NAMES) {
         await start(vm);
       }
     },
-    /** The daemon on a VM starts anew and knows what a peer knows. */
+    /** Restarts the daemon on a VM and gives it the plan that a peer follows. */
     async restart(vm: VmId, peer: VmId): Promise<void> {
       await tasks.get(vm)!.stop();
-      lives.set(vm, 2);
+      runs.set(vm, 2);
       plans.delete(vm);
       await start(vm);
       const { plan: stored } = tasks.get(peer)!.known;
       tasks.get(vm)!.send({ kind: "known", stored: stored! });
     },
-    /** Slots that a VM has by the plan that another one follows. */
+    /** Slots of a VM in the plan that the VM `by` follows. */
     slotsOf: (vm: VmId, by: VmId) =>
       tasks.get(by)!.plan!.allotments.filter((row) => row.vm === vm)
         .reduce((sum, { slots }) => sum + slots, 0),
     sequenceAt: (vm: VmId) => tasks.get(vm)!.plan?.sequence,
     planningVm: () => NAMES.find((vm) => tasks.get(vm)!.planning)!,
-    /** Whether the plan of a VM still holds. */
+    /** Whether a VM may still use its plan. */
     holds: (vm: VmId) => {
       const { endsAt } = plans.get(vm) ?? { endsAt: 0 };
       return performance.now() < endsAt;
@@ -140,60 +141,60 @@
   vi.useRealTimers();
 });
 
-// The table is away for minutes, and two VMs are cut off from the others. If
-// plans ended for want of the table, nobody would be served, though no planner
-// can hand anybody's slots out meanwhile.
-test("a plan holds through an outage, also for those who are cut off together", async () => {
-  const { start, table, cut, holds } = fleet();
+// The table is unavailable for minutes, and two VMs are partitioned from the others.
+// If plans expired because of that, no request would be served, although no planner
+// can reassign slots meanwhile.
+test("a plan stays valid during a table outage, also for VMs that are partitioned together", async () => {
+  const { start, table, isolated, holds } = fleet();
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
   expect(NAMES.filter(holds)).toEqual(NAMES);
-  table.isAway = true;
-  cut.add("d" as VmId).add("e" as VmId);
+  table.isUnavailable = true;
+  isolated.add("d" as VmId).add("e" as VmId);
   await vi.advanceTimersByTimeAsync(120_000);
   expect(NAMES.filter(holds)).toEqual(NAMES);
 });
 
-// A VM is cut off from all others and from the table. Nobody can tell it that
-// its slots were given on, so it has to stop by itself.
-test("a plan ends for a VM that reaches nobody", async () => {
-  const { start, table, cut, holds } = fleet();
+// A VM is isolated from all others and from the table. It cannot be notified that its
+// slots were reassigned, so it must stop using them by itself.
+test("a plan expires on a VM that reaches neither the table nor another VM", async () => {
+  const { start, table, isolated, holds } = fleet();
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
-  table.isAway = true;
-  cut.add("e" as VmId);
+  table.isUnavailable = true;
+  isolated.add("e" as VmId);
   await vi.advanceTimersByTimeAsync(16_000);
   expect(NAMES.filter(holds)).toEqual(NAMES.slice(0, 4));
 });
 
-// The planner still reaches the table, but no other VM. It plans on without
-// knowing what they use, and must not take their slots for free.
-test("a planner that hears from nobody gives nobody's slots on", async () => {
-  const { start, cut, slotsOf, sequenceAt, planningVm } = fleet();
+// The planner still reaches the table, but no other VM. It continues to plan without
+// knowing which slots they use, and must not treat their slots as free.
+test("a planner that receives no reports reassigns no slots", async () => {
+  const { start, isolated, slotsOf, sequenceAt, planningVm } = fleet();
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
   const planner = planningVm();
   const before = slotsOf(planner, planner);
   const sequence = sequenceAt(planner)!;
-  cut.add(planner);
+  isolated.add(planner);
   await vi.advanceTimersByTimeAsync(180_000);
   expect(sequenceAt(planner)).toBeGreaterThan(sequence + 10);
   expect(slotsOf(planner, planner)).toBe(before);
 });
 
-// A daemon is restarted while the table is away, so that no plan can name its
-// new instance. Its slots would idle for as long as the outage lasts.
-test("a restarted daemon takes its earlier instance's place if all agree", async () => {
-  const { start, restart, table, cut, holds } = fleet();
+// A daemon is restarted while the table is unavailable, so that no plan can name its
+// new instance. Its slots would stay idle for as long as the outage lasts.
+test("a restarted daemon takes the place of its earlier instance if all VMs agree", async () => {
+  const { start, restart, table, isolated, holds } = fleet();
   const [vm, peer, other] = ["b", "c", "e"] as VmId[];
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
-  table.isAway = true;
-  cut.add(other!);
+  table.isUnavailable = true;
+  isolated.add(other!);
   await restart(vm!, peer!);
   await vi.advanceTimersByTimeAsync(10_000);
   expect(holds(vm!)).toBe(false);
-  cut.delete(other!);
+  isolated.delete(other!);
   await vi.advanceTimersByTimeAsync(10_000);
   expect(holds(vm!)).toBe(true);
 });
--- a/packages/daemon/src/planned_stop.ts
+++ b/packages/daemon/src/planned_stop.ts
@@ -1,8 +1,9 @@
 /**
- * The planned stop: a VM leaves without cutting anyone off.
+ * The planned stop, in which a VM leaves without breaking any request.
  *
- * Callers may use this VM for as long as they may cache an answer that names
- * it, so it serves on for that long after the last VM has heard that it leaves.
+ * Callers may use this VM for as long as they may cache a look-up response that
+ * names it, so it serves requests for that long after every VM has received the
+ * notice that it leaves.
  *
  * @module
  */
@@ -11,62 +12,65 @@
 import type { Log } from "./log.ts";
 
 /**
- * Longest time until every VM has heard that one leaves, and stops naming it,
- * in milliseconds: what membership promises.
+ * Longest time until every VM has received a leaving notice and stops naming that
+ * VM, as guaranteed by membership.
  */
-const SPREAD_MS = 2_000;
-/** Time for answers that say `connection: close` to end kept connections. */
-const CLOSING_MS = 500;
-/** Beyond the longest deadline, for the last answers to get out. */
-const LAST_ANSWERS_MS = 1_000;
-/** Longest wait for outcomes of keyed requests to reach the table. */
-const OUTCOMES_MS = 5_000;
-const OUTCOMES_POLL_MS = 50;
+const MAX_PROPAGATION_MS = 2_000;
+/** Time in which responses with `connection: close` end the keep-alive connections. */
+const CONNECTION_CLOSE_MS = 500;
+/** Time beyond the longest deadline in which the last responses are sent. */
+const LAST_RESPONSES_MS = 1_000;
+/** Longest wait for the outcomes of keyed requests to be written to the table. */
+const MAX_OUTCOMES_WAIT_MS = 5_000;
+const OUTCOMES_POLL_INTERVAL_MS = 50;
 
-/** What a planned stop asks of the daemon. */
+/** Operations of the daemon that a planned stop uses. */
 export interface StopSteps {
-  /** Look-ups of this VM stop naming it; peers and the platform are told. */
+  /** Removes this VM from its own look-up responses and notifies peers and the platform. */
   announce(): void;
-  /** How long callers may cache a look-up's answer. */
+  /** How long callers may cache a look-up response. */
   lifetimeMs(): number;
   /** The longest deadline that a request in flight can have. */
   longestDeadlineMs(): number;
-  /** Each answer ends its connection from now on. */
-  endKeptConnections(): void;
-  /** Takes no new connections. */
+  /** Makes each further response end its connection. */
+  closeConnectionsAfterResponse(): void;
+  /** Stops accepting connections. */
   stopAccepting(): void;
-  /** Settles when no request is in flight. */
-  requestsOver(): Promise<void>;
-  /** Outcomes of keyed requests that the table has not got yet. */
+  /** Resolves when no request is in flight. */
+  waitForRequests(): Promise<void>;
+  /** Number of outcomes of keyed requests that are not yet in the table. */
   pendingOutcomes(): number;
-  /** Gives back what was borrowed, releases the lease, closes everything. */
+  /** Returns borrowed slots, releases the lease and closes everything. */
   release(): Promise<void>;
 }
 
-/** Runs a planned stop; settles when nothing is left. */
-export async function stopAsPlanned(steps: StopSteps, log: Log): Promise<void> {
+/** Runs a planned stop; resolves when everything is closed. */
+export async function runPlannedStop(
+  steps: StopSteps,
+  log: Log,
+): Promise<void> {
   log.info("planned stop begins");
   steps.announce();
-  await sleep(steps.lifetimeMs() + SPREAD_MS);
-  steps.endKeptConnections();
-  await sleep(CLOSING_MS);
+  await sleep(steps.lifetimeMs() + MAX_PROPAGATION_MS);
+  steps.closeConnectionsAfterResponse();
+  await sleep(CONNECTION_CLOSE_MS);
   steps.stopAccepting();
-  const bound = new AbortController();
+  const timeout = new AbortController();
   await Promise.race([
-    steps.requestsOver(),
-    sleep(steps.longestDeadlineMs() + LAST_ANSWERS_MS, undefined, {
-      signal: bound.signal,
+    steps.waitForRequests(),
+    sleep(steps.longestDeadlineMs() + LAST_RESPONSES_MS, undefined, {
+      signal: timeout.signal,
     }).catch(() => undefined),
   ]);
-  bound.abort();
-  await outcomesWritten(steps);
+  timeout.abort();
+  await waitForOutcomes(steps);
   await steps.release();
   log.info("planned stop ends");
 }
 
-async function outcomesWritten(steps: StopSteps): Promise<void> {
-  const until = performance.now() + OUTCOMES_MS;
-  while (steps.pendingOutcomes() > 0 && performance.now() < until) {
-    await sleep(OUTCOMES_POLL_MS);
+async function waitForOutcomes(steps: StopSteps): Promise<void> {
+  const deadlineAt = performance.now() + MAX_OUTCOMES_WAIT_MS;
+  while (steps.pendingOutcomes() > 0 && performance.now() < deadlineAt) {
+    await sleep(OUTCOMES_POLL_INTERVAL_MS);
   }
 }
--- a/packages/daemon/src/planning.ts
+++ b/packages/daemon/src/planning.ts
@@ -1,6 +1,6 @@
 /**
- * What the planner makes its next plan from: reports of VMs, and what can be
- * known of silent ones. Without a clock, a table or a socket.
+ * Collects the inputs of the planner's next plan: reports of VMs, and what is known
+ * of VMs that stopped reporting. Uses no clock, table or socket.
  *
  * @module
  */
@@ -19,82 +19,82 @@
 import type { InstanceId, VmId } from "@poplarthread/ids";
 import type { PlannerReport, StoredPlan } from "./peers/messages.ts";
 
-/** What the planner looks at, beside what VMs report to it. */
+/** Inputs of the planner other than the reports of VMs. */
 export interface PlanInputs {
   readonly policy: Policy;
   readonly revision: number;
   readonly vms: readonly VmEntry[];
   readonly targets: readonly TargetEntry[];
-  /** Instances of the members, as far as they were heard. */
+  /** Instances of the members that have sent a heartbeat. */
   readonly instances: ReadonlyMap<VmId, InstanceId>;
-  /** VMs that the platform lists; undefined while its list cannot be read. */
+  /** VMs that the platform lists; undefined without a recent list. */
   readonly listed: ReadonlySet<VmId> | undefined;
 }
 
-/** A plan and who may hold something by it. */
+/** A plan and the instances that may hold slots or links by it. */
 export type PlannedHolders = Pick<StoredPlan, "plan" | "holders">;
 
-/** A VM that reports with another instance for this long has started anew: no
- * late word of an earlier life keeps coming. Two reports are 2 s apart. */
-const NEW_LIFE_MS = 4_000;
-/** Reports older than this say nothing of a VM any more: two missed ones. */
-const FRESH_MS = 5_000;
-/** A VM that the platform does not list for this long is gone: the list lags,
- * so what it has left out was gone before, and one odd answer must not do. */
-const UNLISTED_MS = 10_000;
-/** Longest loan of slots; those of an ended instance outlive it. */
-const LONGEST_LOAN_MS = 30_000;
-
-interface Reported {
+/** A VM whose reports have come from another instance for this long has restarted;
+ * delayed reports of an earlier instance end sooner. Reports are 2 s apart. */
+const MIN_NEW_INSTANCE_MS = 4_000;
+/** Reports older than this no longer count; two reports were missed by then. */
+const MAX_REPORT_AGE_MS = 5_000;
+/** A VM that the platform has not listed for this long has stopped. The list lags, so a
+ * VM missing from it stopped earlier; a single wrong response must not suffice. */
+const MIN_UNLISTED_MS = 10_000;
+/** Maximum duration of a loan of slots; loans outlive the instance that lent them. */
+const MAX_LOAN_MS = 30_000;
+
+interface LatestReport {
   readonly instance: InstanceId;
   readonly report: PlannerReport;
-  /** When this instance was heard first, and last. */
-  readonly firstAt: number;
+  /** When the first and the latest report of this instance arrived. */
+  readonly firstReceivedAt: number;
   readonly at: number;
 }
 
-/** The planner's memory; a planner that starts begins with none. */
+/** State of the planner, empty when it starts. */
 export class Planning {
-  readonly #reports = new Map<VmId, Reported>();
+  readonly #reports = new Map<VmId, LatestReport>();
   readonly #unlistedSince = new Map<VmId, number>();
   #instances: ReadonlyMap<VmId, InstanceId> = new Map();
   /** Sequence of the plan in force. */
-  #sequence = 0;
-  /** Live VMs, whose word on loans is needed. */
-  #live: readonly VmId[] = [];
+  #planSequence = 0;
+  /** Live VMs, all of which must report that they hold no loan of an ended instance. */
+  #liveVms: readonly VmId[] = [];
   #silences: readonly Silence[] = [];
 
-  /** Takes in what a VM reports. */
-  hear(from: Sender, report: PlannerReport, now: number): void {
+  /** Stores the report of a VM. */
+  addReport(from: Sender, report: PlannerReport, now: number): void {
     const before = this.#reports.get(from.vm);
     const isSame = before?.instance === from.instance;
-    const firstAt = isSame ? before.firstAt : now;
+    const firstReceivedAt = isSame ? before.firstReceivedAt : now;
     const { instance } = from;
-    this.#reports.set(from.vm, { instance, report, firstAt, at: now });
+    this.#reports.set(from.vm, { instance, report, firstReceivedAt, at: now });
   }
 
-  /** Whether every VM that seems to live was heard, so that a plan can name it. */
-  knowsAll(inputs: PlanInputs): boolean {
+  /** Whether the instance of every live VM is known, so that a plan can name it. */
+  hasAllInstances(inputs: PlanInputs): boolean {
     return inputs.vms.every(({ vm, live }) =>
       !live || this.#reports.has(vm) || inputs.instances.has(vm)
     );
   }
 
-  /** The plan after `previous`, which was first seen `previousAgeMs` ago. */
+  /** Makes the plan after `previous`, which this VM has had for `previousAgeMs`. */
   next(
     inputs: PlanInputs,
     previous: PlannedHolders | undefined,
     { now, previousAgeMs }: { now: number; previousAgeMs: number },
   ): PlannedHolders {
-    this.#live = inputs.vms.filter(({ live }) => live).map(({ vm }) => vm);
+    this.#liveVms = inputs.vms.filter(({ live }) => live).map(({ vm }) => vm);
     this.#instances = inputs.instances;
-    this.#sequence = previous?.plan.sequence ?? 0;
+    this.#planSequence = previous?.plan.sequence ?? 0;
     const confirmations = this.#confirmations(previous, now);
     const plan = nextPlan({
       ...inputs,
       vms: inputs.vms.map((vm) => ({
         ...vm,
-        live: vm.live && this.#mayHold(vm.vm, previous, now),
+        live: vm.live && this.#canHold(vm.vm, previous, now),
       })),
       demand: this.#demand(now),
       confirmations,
@@ -102,23 +102,25 @@
       ...(previous === undefined ? {} : { previous: previous.plan }),
       previousAgeMs,
     });
-    const holding = new Set(
+    const holdingVms = new Set(
       [...plan.allotments, ...plan.links].map(({ vm }) => vm),
     );
-    const holders = [...holding].map((vm) => this.#holder(vm, previous, now));
+    const holders = [...holdingVms].map((vm) =>
+      this.#holderOf(vm, previous, now)
+    );
     return { plan, holders: holders.filter((one) => one !== undefined) };
   }
 
-  /** The VM's present instance: that of its reports, or else as heartbeats say. */
+  /** The VM's current instance by its reports, or else by its heartbeats. */
   #instanceOf(vm: VmId): InstanceId | undefined {
     return this.#reports.get(vm)?.instance ?? this.#instances.get(vm);
   }
 
   /**
-   * A VM that was never heard has no instance that could hold anything, and a new
-   * instance holds nothing while the earlier one may: its loans outlive it.
+   * A VM of which no instance is known can hold nothing, and neither can a new
+   * instance while the earlier one may still hold slots: its loans outlive it.
    */
-  #mayHold(
+  #canHold(
     vm: VmId,
     previous: PlannedHolders | undefined,
     now: number,
@@ -127,17 +129,17 @@
     const holder = previous?.holders.find((one) => one.vm === vm);
     return instance !== undefined &&
       (holder === undefined || holder.instance === instance ||
-        this.#isGone(holder, now));
+        this.#isReleased(holder, now));
   }
 
-  /** The instance that the VM's rows are about. */
-  #holder(
+  /** The instance that the plan's entries for a VM apply to. */
+  #holderOf(
     vm: VmId,
     previous: PlannedHolders | undefined,
     now: number,
   ): Sender | undefined {
     const instance = this.#instanceOf(vm);
-    return instance !== undefined && this.#mayHold(vm, previous, now)
+    return instance !== undefined && this.#canHold(vm, previous, now)
       ? { vm, instance }
       : previous?.holders.find((holder) => holder.vm === vm);
   }
@@ -153,7 +155,7 @@
     );
   }
 
-  /** Only the word of the very instance that the plan names counts. */
+  /** Counts only reports of the instance that the plan names. */
   #confirmations(
     previous: PlannedHolders | undefined,
     now: number,
@@ -177,14 +179,14 @@
       return new Set();
     }
     const { plan, holders } = previous;
-    this.#watchList(inputs, holders, ctx.now);
+    this.#updateUnlisted(inputs, holders, ctx.now);
     const { silences, stopped } = watchSilence(this.#silences, {
       holdings: [...plan.allotments, ...plan.links],
       confirmed: new Map(
         ctx.confirmations.map(({ vm, sequence }) => [vm, sequence]),
       ),
       gone: new Set(
-        holders.filter((holder) => this.#isGone(holder, ctx.now))
+        holders.filter((holder) => this.#isReleased(holder, ctx.now))
           .map(({ vm }) => vm),
       ),
       now: ctx.now,
@@ -193,7 +195,7 @@
     return stopped;
   }
 
-  #watchList(
+  #updateUnlisted(
     { listed }: PlanInputs,
     holders: readonly Sender[],
     now: number,
@@ -208,37 +210,38 @@
   }
 
   /**
-   * Whether an instance has ended and nobody uses slots that it lent. Its
-   * successor may use its slots by an older plan, until it follows this one.
+   * Whether an instance has ended and no VM uses slots that it lent. Until its
+   * successor follows this plan, it may use the slots by an older one.
    */
-  #isGone({ vm, instance }: Sender, now: number): boolean {
+  #isReleased({ vm, instance }: Sender, now: number): boolean {
     const endedAt = this.#endedAt({ vm, instance }, now);
-    const heir = this.#reports.get(vm);
-    const mayLag = heir !== undefined && heir.instance !== instance &&
-      heir.report.sequence < this.#sequence;
-    return endedAt !== undefined && !mayLag &&
-      (now - endedAt >= LONGEST_LOAN_MS ||
-        this.#isFreeOfLoans(instance, endedAt));
+    const successor = this.#reports.get(vm);
+    const successorMayLag = successor !== undefined &&
+      successor.instance !== instance &&
+      successor.report.sequence < this.#planSequence;
+    return endedAt !== undefined && !successorMayLag &&
+      (now - endedAt >= MAX_LOAN_MS ||
+        this.#hasNoLoans(instance, endedAt));
   }
 
-  /** When the instance had ended at the latest; undefined where it may live. */
+  /** Latest time at which the instance can have ended; undefined if it may still run. */
   #endedAt({ vm, instance }: Sender, now: number): number | undefined {
     const reported = this.#reports.get(vm);
     const isReplaced = reported !== undefined &&
-      reported.instance !== instance && now - reported.at < FRESH_MS &&
-      reported.at - reported.firstAt >= NEW_LIFE_MS;
+      reported.instance !== instance && now - reported.at < MAX_REPORT_AGE_MS &&
+      reported.at - reported.firstReceivedAt >= MIN_NEW_INSTANCE_MS;
     if (isReplaced) {
-      return reported.firstAt;
+      return reported.firstReceivedAt;
     }
     const since = this.#unlistedSince.get(vm);
-    return since !== undefined && now - since >= UNLISTED_MS
+    return since !== undefined && now - since >= MIN_UNLISTED_MS
       ? since
       : undefined;
   }
 
-  /** Whether all live VMs have reported since, and none with a loan of that instance. */
-  #isFreeOfLoans(instance: InstanceId, since: number): boolean {
-    return this.#live.every((vm) => {
+  /** Whether all live VMs have reported since then, none with a loan of that instance. */
+  #hasNoLoans(instance: InstanceId, since: number): boolean {
+    return this.#liveVms.every((vm) => {
       const reported = this.#reports.get(vm);
       return reported !== undefined && reported.at > since &&
         !reported.report.lenders.includes(instance);
--- a/packages/daemon/src/planning_test.ts
+++ b/packages/daemon/src/planning_test.ts
@@ -22,11 +22,11 @@
   leaving: false,
 }));
 
-/** A planner that hears some VMs every two seconds, and plans as often. */
-class Clockwork {
+/** Simulates a planner that gets reports of some VMs and plans every 2 s. */
+class PlanningSimulation {
   readonly planning = new Planning();
-  readonly lives = new Map<VmId, number>(NAMES.map((vm) => [vm, 1]));
-  readonly silent = new Set<VmId>();
+  readonly runs = new Map<VmId, number>(NAMES.map((vm) => [vm, 1]));
+  readonly unresponsive = new Set<VmId>();
   readonly listed = new Set<VmId>(NAMES);
   lenders: readonly InstanceId[] = [];
   planned: PlannedHolders | undefined;
@@ -46,19 +46,19 @@
 
   #step(): void {
     const { now, listed } = this;
-    const heard = NAMES.filter((vm) => !this.silent.has(vm));
-    for (const vm of heard) {
-      const instance = `${vm}.${this.lives.get(vm)}` as InstanceId;
+    const reporting = NAMES.filter((vm) => !this.unresponsive.has(vm));
+    for (const vm of reporting) {
+      const instance = `${vm}.${this.runs.get(vm)}` as InstanceId;
       const sequence = this.planned?.plan.sequence ?? 0;
       const lenders = vm === "c" ? this.lenders : [];
       const report = { sequence, demand: [], lenders };
-      this.planning.hear({ vm, instance }, report, now);
+      this.planning.addReport({ vm, instance }, report, now);
     }
     const vms = NAMES.map((vm): VmEntry => ({
       vm,
       region,
       zone,
-      live: heard.includes(vm),
+      live: reporting.includes(vm),
     }));
     const inputs = { policy: TEST_PRESET, revision: 1, vms, targets };
     const ctx = { now, previousAgeMs: 2_000 };
@@ -72,41 +72,41 @@
 }
 
 // A daemon is restarted while a peer still uses slots that it lent. The new
-// instance does not know of the loan; with its slots back at once, it would use
-// them beside the peer and the target would be over its capacity.
-test("a new instance gets slots once nobody uses what the earlier one lent", () => {
-  const fleet = new Clockwork();
-  fleet.runFor(4_000);
-  expect(NAMES.map((vm) => fleet.slots(vm))).toEqual([2, 2, 2]);
-  fleet.lives.set("a" as VmId, 2);
-  fleet.lenders = ["a.1" as InstanceId];
-  fleet.runFor(10_000);
-  expect(fleet.slots("a" as VmId)).toBe(0);
-  fleet.lenders = [];
-  fleet.runFor(20_000);
-  expect(fleet.slots("a" as VmId)).toBeGreaterThan(0);
+// instance does not know of the loan; if it got its slots at once, both VMs would
+// use them and the target would exceed its capacity.
+test("a new instance gets slots only when no VM uses slots lent by the earlier one", () => {
+  const simulation = new PlanningSimulation();
+  simulation.runFor(4_000);
+  expect(NAMES.map((vm) => simulation.slots(vm))).toEqual([2, 2, 2]);
+  simulation.runs.set("a" as VmId, 2);
+  simulation.lenders = ["a.1" as InstanceId];
+  simulation.runFor(10_000);
+  expect(simulation.slots("a" as VmId)).toBe(0);
+  simulation.lenders = [];
+  simulation.runFor(20_000);
+  expect(simulation.slots("a" as VmId)).toBeGreaterThan(0);
 });
 
-// Every daemon is restarted at once. Nobody is left who could use a loan, so
-// service must not wait for loans to run out.
-test("a fleet that restarts as a whole has its slots back within seconds", () => {
-  const fleet = new Clockwork();
-  fleet.runFor(4_000);
-  NAMES.forEach((vm) => fleet.lives.set(vm, 2));
-  fleet.runFor(8_000);
-  expect(NAMES.map((vm) => fleet.slots(vm))).toEqual([2, 2, 2]);
+// All daemons are restarted at once. No instance is left that could use a loan, so
+// the VMs must not wait for loans to expire before they serve requests.
+test("a fleet in which all VMs restart gets its slots within seconds", () => {
+  const simulation = new PlanningSimulation();
+  simulation.runFor(4_000);
+  NAMES.forEach((vm) => simulation.runs.set(vm, 2));
+  simulation.runFor(8_000);
+  expect(NAMES.map((vm) => simulation.slots(vm))).toEqual([2, 2, 2]);
 });
 
-// A zone fails with two VMs. While the platform still lists them they may only
-// be cut off, and vouch for each other; once it does not, they are gone.
-test("slots of two silent VMs are given on when the platform lists them no more", () => {
-  const fleet = new Clockwork();
-  fleet.runFor(4_000);
+// A zone with two VMs fails. While the platform still lists them they may only be
+// partitioned off and renew each other's terms; once unlisted, they have stopped.
+test("slots of two unresponsive VMs are reassigned once the platform does not list them", () => {
+  const simulation = new PlanningSimulation();
+  simulation.runFor(4_000);
   const lost = NAMES.slice(0, 2);
-  lost.forEach((vm) => fleet.silent.add(vm));
-  fleet.runFor(120_000);
-  expect(fleet.slots("c" as VmId)).toBe(2);
-  lost.forEach((vm) => fleet.listed.delete(vm));
-  fleet.runFor(16_000);
-  expect(fleet.slots("c" as VmId)).toBe(6);
+  lost.forEach((vm) => simulation.unresponsive.add(vm));
+  simulation.runFor(120_000);
+  expect(simulation.slots("c" as VmId)).toBe(2);
+  lost.forEach((vm) => simulation.listed.delete(vm));
+  simulation.runFor(16_000);
+  expect(simulation.slots("c" as VmId)).toBe(6);
 });
--- a/packages/daemon/src/platform_client.ts
+++ b/packages/daemon/src/platform_client.ts
@@ -23,15 +23,15 @@
   ZoneId,
 } from "@poplarthread/ids";
 
-/** Where a VM of the platform's list is and whether it is leaving. */
-interface ListedPlace {
+/** Location and state of an entry in the platform's VM list. */
+interface ListedLocation {
   readonly region: RegionId;
   readonly zone: ZoneId;
   readonly state: "live" | "leaving";
 }
 
-/** A VM of the system, as the platform lists it. */
-export interface ListedEntry extends ListedPlace {
+/** An entry VM, as the platform lists it. */
+export interface ListedEntry extends ListedLocation {
   readonly role: "entry";
   readonly id: VmId;
   /** Address of the callers' listener, `host:port`. */
@@ -41,7 +41,7 @@
 }
 
 /** A target, as the platform lists it. */
-export interface ListedTarget extends ListedPlace {
+export interface ListedTarget extends ListedLocation {
   readonly role: "target";
   readonly id: TargetId;
   readonly service: ServiceId;
@@ -49,27 +49,27 @@
   readonly address: string;
 }
 
-/** One line of the platform's VM list. */
+/** One entry of the platform's VM list. */
 export type ListedVm = ListedEntry | ListedTarget;
 
-/** Where the platform is and how long one answer may take. */
+/** Options of {@link PlatformClient}. */
 export interface PlatformOptions {
   readonly url: string;
   readonly timeoutMs: number;
-  /** Address to connect from; without it the system chooses. */
+  /** Local address of connections; chosen by the operating system if omitted. */
   readonly localAddress?: string;
   readonly outages: Outages;
 }
 
-/** Errors that come before anything of a call was sent. */
-const NOT_SENT: ReadonlySet<string> = new Set([
+/** Codes of errors that occur before any part of a request is sent. */
+const NOT_SENT_ERROR_CODES: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
   "ENETUNREACH",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
-/** Connections to the platform: group commits, polls and operators side by side. */
-const CONNECTIONS = 8;
+/** Enough for concurrent group commits, polls and operators' requests. */
+const MAX_CONNECTIONS = 8;
 
 /** Calls the platform; every failure is a {@link TableError}. */
 export class PlatformClient implements Table {
@@ -79,7 +79,7 @@
 
   constructor(options: PlatformOptions) {
     this.#pool = new Pool(options.url, {
-      connections: CONNECTIONS,
+      connections: MAX_CONNECTIONS,
       connectTimeout: options.timeoutMs,
       ...(options.localAddress === undefined
         ? {}
@@ -90,13 +90,13 @@
   }
 
   async read(keys: readonly string[]): Promise<readonly Row[]> {
-    const answer = await this.#call("/table/read", { keys });
-    return (answer as { rows: Row[] }).rows;
+    const response = await this.#call("/table/read", { keys });
+    return (response as { rows: Row[] }).rows;
   }
 
   async scan(prefix: string, options: ScanOptions): Promise<readonly Row[]> {
-    const answer = await this.#call("/table/scan", { prefix, ...options });
-    return (answer as { rows: Row[] }).rows;
+    const response = await this.#call("/table/scan", { prefix, ...options });
+    return (response as { rows: Row[] }).rows;
   }
 
   async transact(transaction: Transaction): Promise<TransactionResult> {
@@ -106,13 +106,13 @@
     ) as TransactionResult;
   }
 
-  /** The list of live and leaving VMs; it lags. */
+  /** The list of live and leaving VMs, which lags behind. */
   async listVms(): Promise<readonly ListedVm[]> {
-    const answer = await this.#call("/vms", undefined);
-    return (answer as { vms: ListedVm[] }).vms;
+    const response = await this.#call("/vms", undefined);
+    return (response as { vms: ListedVm[] }).vms;
   }
 
-  /** Tells the list what has become of this VM. */
+  /** Updates this VM's entry in the list. */
   async announce(entry: ListedEntry): Promise<void> {
     const path = `/vms/${entry.id}`;
     try {
@@ -148,9 +148,9 @@
           "unknown",
         );
       }
-      const answer = await res.body.json();
+      const response = await res.body.json();
       this.#outages.succeeded(subject);
-      return answer;
+      return response;
     } catch (err) {
       const failure = toTableError(path, err as Error & { code?: string });
       this.#outages.failed(subject, failure.message);
@@ -166,6 +166,6 @@
   if (err instanceof TableError) {
     return err;
   }
-  const effect = NOT_SENT.has(err.code ?? "") ? "none" : "unknown";
+  const effect = NOT_SENT_ERROR_CODES.has(err.code ?? "") ? "none" : "unknown";
   return new TableError(`Cannot call ${path}: ${err.message}`, effect);
 }
--- a/packages/daemon/src/revisions.ts
+++ b/packages/daemon/src/revisions.ts
@@ -1,34 +1,34 @@
 /**
- * Which revision each VM confirmed last.
+ * The revision that each VM confirmed last.
  *
  * @module
  */
 
 import type { VmId } from "@poplarthread/ids";
 
-/** A confirmation, and when it was heard on this VM's monotonic clock. */
-export interface Confirmed {
+/** A confirmed revision, and when it was received on this VM's monotonic clock. */
+export interface ConfirmedRevision {
   readonly revision: number;
   readonly at: number;
 }
 
-/** What VMs said of themselves. */
+/** The latest revision confirmed by each VM. */
 export class Revisions {
-  readonly #confirmed = new Map<VmId, Confirmed>();
+  readonly #confirmed = new Map<VmId, ConfirmedRevision>();
 
-  /** A VM's own word; a lower revision comes from an older message and is no news. */
-  heard(vm: VmId, revision: number, now: number): void {
+  /** Stores a confirmation by the VM itself; a lower revision is from an older message and is ignored. */
+  confirm(vm: VmId, revision: number, now: number): void {
     const known = this.#confirmed.get(vm);
     if (known === undefined || revision >= known.revision) {
       this.#confirmed.set(vm, { revision, at: now });
     }
   }
 
-  forget(vm: VmId): void {
+  remove(vm: VmId): void {
     this.#confirmed.delete(vm);
   }
 
-  of(vm: VmId): Confirmed | undefined {
+  of(vm: VmId): ConfirmedRevision | undefined {
     return this.#confirmed.get(vm);
   }
 }
--- a/packages/daemon/src/slot_loans.ts
+++ b/packages/daemon/src/slot_loans.ts
@@ -1,11 +1,11 @@
 /**
- * Slots that VMs lend each other, as messages between them.
+ * Exchanges messages with other VMs to lend and borrow slots.
  *
- * The lender lowers its own count before it says a word, and takes the slots
- * back only when they were given back or the loan has run out by its clock. The
- * borrower places the grant on its own clock no later than it can have been:
- * when it asked, plus the time that the lender had the question. A message that
- * was held up on the way therefore shortens the loan and never lengthens it.
+ * The lender lowers its own count before it sends the grant, and uses the slots
+ * again only when they were returned or the loan has expired by its clock. The
+ * borrower takes as the start of the loan, on its own clock, the earliest time
+ * possible: when it sent its request, plus the time that the lender had the
+ * request. A delayed message therefore shortens the loan and never lengthens it.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { PeerId, SlotMessage } from "./peers/messages.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type SlotLoansMessage =
   | { readonly kind: "effect"; readonly effect: Ask | Lend | GiveBack }
   | {
@@ -28,62 +28,64 @@
     readonly from: PeerId;
     readonly message: SlotMessage;
   }
-  /** This VM stops: what it borrowed goes back at once. */
+  /** This VM stops: it returns all borrowed slots at once. */
   | { readonly kind: "return-all" }
   | { readonly kind: "tick" };
 
-/** Construction of the task. */
+/** Options of {@link SlotLoans}. */
 export interface SlotLoansOptions {
   readonly instance: InstanceId;
   readonly send: (to: VmId, message: SlotMessage) => void;
   readonly steer: (event: SteeringEvent) => void;
 }
 
-/** A clock that is not being stepped drifts by less than 0.05%; 1% is far above. */
-const DRIFT_MARGIN = 0.01;
+/** Share of a loan's duration by which the borrower ends it early; a clock that is not stepped drifts by less than 0.05%, far below. */
+const CLOCK_DRIFT_MARGIN = 0.01;
 const TICK_MS = 100;
-/** Questions remembered per VM: an answer to an older one is of no use. */
-const MAX_QUESTIONS = 64;
+/** Sent requests remembered per VM; a grant for an older one is useless. */
+const MAX_ASKS_PER_PEER = 64;
 
-interface Given {
+interface LentSlots {
   readonly to: VmId;
   readonly target: TargetId;
   readonly slots: number;
   readonly endsAt: number;
 }
 
-interface Taken {
+interface BorrowedSlots {
   readonly from: PeerId;
   readonly target: TargetId;
   slots: number;
   readonly endsAt: number;
 }
 
-interface Question {
+interface ReceivedAsk {
   readonly question: string;
-  readonly heardAt: number;
+  readonly receivedAt: number;
 }
 
-/** Owns the loans given and taken. */
+/** Owns the loans that this VM has granted and received. */
 export class SlotLoans extends Task<SlotLoansMessage> {
   readonly #options: SlotLoansOptions;
-  readonly #given = new Map<string, Given>();
-  readonly #taken = new Map<string, Taken>();
-  /** When each question was sent. */
-  readonly #asked = new Map<string, number>();
-  /** The last question heard of each VM. */
-  readonly #heard = new Map<VmId, Question>();
-  #questions = 0;
-  #loans = 0;
+  readonly #lent = new Map<string, LentSlots>();
+  readonly #borrowed = new Map<string, BorrowedSlots>();
+  /** When each request for slots was sent. */
+  readonly #sentAsks = new Map<string, number>();
+  /** The last request received from each VM. */
+  readonly #receivedAsks = new Map<VmId, ReceivedAsk>();
+  #askCount = 0;
+  #loanCount = 0;
 
   constructor(options: SlotLoansOptions) {
     super("slot-loans");
     this.#options = options;
   }
 
-  /** Instances of which this VM holds slots. */
+  /** Instances that have lent slots to this VM. */
   get lenders(): readonly InstanceId[] {
-    const lenders = [...this.#taken.values()].map(({ from }) => from.instance);
+    const lenders = [...this.#borrowed.values()].map(({ from }) =>
+      from.instance
+    );
     return [...new Set(lenders)];
   }
 
@@ -98,13 +100,13 @@
         this.#perform(message.effect, now);
         return;
       case "peer":
-        this.#hear(message.from, message.message, now);
+        this.#receiveFromPeer(message.from, message.message, now);
         return;
       case "return-all":
-        for (const [loan, { from }] of this.#taken) {
+        for (const [loan, { from }] of this.#borrowed) {
           this.#options.send(from.vm, { kind: "give-back", loan });
         }
-        this.#taken.clear();
+        this.#borrowed.clear();
         return;
       case "tick":
         this.#expire(now);
@@ -123,19 +125,19 @@
         this.#lend(effect, now);
         return;
       case "give-back":
-        this.#giveBack(effect);
+        this.#returnSlots(effect);
         return;
     }
   }
 
   #ask(effect: Ask, now: number): void {
     const { to, service, region, slots, rank, rankWaitMs, waitMs } = effect;
-    this.#questions += 1;
-    const question = `${this.#options.instance}/${this.#questions}`;
-    this.#asked.set(question, now);
-    if (this.#asked.size > MAX_QUESTIONS * 16) {
-      const [oldest] = this.#asked.keys();
-      this.#asked.delete(oldest!);
+    this.#askCount += 1;
+    const question = `${this.#options.instance}/${this.#askCount}`;
+    this.#sentAsks.set(question, now);
+    if (this.#sentAsks.size > MAX_ASKS_PER_PEER * 16) {
+      const [oldest] = this.#sentAsks.keys();
+      this.#sentAsks.delete(oldest!);
     }
     this.#options.send(to, {
       kind: "ask",
@@ -151,13 +153,13 @@
 
   #lend(effect: Lend, now: number): void {
     const { to, target, slots, durationMs } = effect;
-    this.#loans += 1;
-    const loan = `${this.#options.instance}/${this.#loans}`;
-    this.#given.set(loan, { to, target, slots, endsAt: now + durationMs });
-    const question = this.#heard.get(to);
+    this.#loanCount += 1;
+    const loan = `${this.#options.instance}/${this.#loanCount}`;
+    this.#lent.set(loan, { to, target, slots, endsAt: now + durationMs });
+    const question = this.#receivedAsks.get(to);
     if (question === undefined) {
-      // Nobody asked: the borrower could not place the grant on its clock. The
-      // slots come back when the loan has run out.
+      // Without a request the borrower cannot tell when the loan starts, so no grant
+      // is sent. The slots become usable again when the loan expires.
       return;
     }
     this.#options.send(to, {
@@ -167,36 +169,36 @@
       slots,
       durationMs,
       question: question.question,
-      askAgeMs: now - question.heardAt,
+      askAgeMs: now - question.receivedAt,
     });
   }
 
-  /** Gives back what is held of that VM and target, oldest loan first. */
-  #giveBack(effect: GiveBack): void {
+  /** Returns slots borrowed from that VM for that target, oldest loan first. */
+  #returnSlots(effect: GiveBack): void {
     let slots = effect.slots;
-    for (const [loan, taken] of this.#taken) {
+    for (const [loan, borrowed] of this.#borrowed) {
       if (slots <= 0) {
         return;
       }
-      if (taken.from.vm !== effect.to || taken.target !== effect.target) {
+      if (borrowed.from.vm !== effect.to || borrowed.target !== effect.target) {
         continue;
       }
-      const given = Math.min(slots, taken.slots);
-      slots -= given;
-      taken.slots -= given;
-      if (taken.slots === 0) {
-        this.#taken.delete(loan);
+      const returned = Math.min(slots, borrowed.slots);
+      slots -= returned;
+      borrowed.slots -= returned;
+      if (borrowed.slots === 0) {
+        this.#borrowed.delete(loan);
         this.#options.send(effect.to, { kind: "give-back", loan });
       }
     }
   }
 
-  #hear(from: PeerId, message: SlotMessage, now: number): void {
+  #receiveFromPeer(from: PeerId, message: SlotMessage, now: number): void {
     switch (message.kind) {
       case "ask": {
         const { service, region, slots, rank, rankWaitMs, waitMs, question } =
           message;
-        this.#heard.set(from.vm, { question, heardAt: now });
+        this.#receivedAsks.set(from.vm, { question, receivedAt: now });
         this.#options.steer({
           kind: "asked",
           from: from.vm,
@@ -213,7 +215,7 @@
         this.#borrow(from, message, now);
         return;
       case "give-back":
-        this.#end(message.loan);
+        this.#endLoan(message.loan);
         return;
     }
   }
@@ -223,50 +225,50 @@
     message: Extract<SlotMessage, { kind: "lend" }>,
     now: number,
   ): void {
-    const askedAt = this.#asked.get(message.question);
-    if (askedAt === undefined || this.#taken.has(message.loan)) {
+    const askedAt = this.#sentAsks.get(message.question);
+    if (askedAt === undefined || this.#borrowed.has(message.loan)) {
       return;
     }
     const { loan, target, slots, durationMs, askAgeMs } = message;
-    const usableMs = durationMs * (1 - DRIFT_MARGIN);
-    const left = askedAt + askAgeMs + usableMs - now;
-    if (left <= 0) {
+    const usableMs = durationMs * (1 - CLOCK_DRIFT_MARGIN);
+    const remainingMs = askedAt + askAgeMs + usableMs - now;
+    if (remainingMs <= 0) {
       return;
     }
-    this.#taken.set(loan, {
+    this.#borrowed.set(loan, {
       from,
       target,
       slots,
-      endsAt: now + left,
+      endsAt: now + remainingMs,
     });
     this.#options.steer({
       kind: "borrowed",
       from: from.vm,
       target,
       slots,
-      durationMs: left,
+      durationMs: remainingMs,
     });
   }
 
-  #end(loan: string): void {
-    const given = this.#given.get(loan);
+  #endLoan(loan: string): void {
+    const given = this.#lent.get(loan);
     if (given === undefined) {
       return;
     }
-    this.#given.delete(loan);
+    this.#lent.delete(loan);
     const { to, target, slots } = given;
     this.#options.steer({ kind: "loan-ended", to, target, slots });
   }
 
   #expire(now: number): void {
-    for (const [loan, { endsAt }] of this.#given) {
+    for (const [loan, { endsAt }] of this.#lent) {
       if (endsAt <= now) {
-        this.#end(loan);
+        this.#endLoan(loan);
       }
     }
-    for (const [loan, { endsAt }] of this.#taken) {
+    for (const [loan, { endsAt }] of this.#borrowed) {
       if (endsAt <= now) {
-        this.#taken.delete(loan);
+        this.#borrowed.delete(loan);
       }
     }
   }
--- a/packages/daemon/src/slot_loans_test.ts
+++ b/packages/daemon/src/slot_loans_test.ts
@@ -12,18 +12,18 @@
 
 const TARGET = "t1" as TargetId;
 
-/** One VM's loans, what it sent and what its decisions were told. */
+/** The loans of one VM, the messages it sent and the events passed to its steering. */
 function vm(name: string) {
   const sent: SlotMessage[] = [];
-  const told: SteeringEvent[] = [];
+  const steeringEvents: SteeringEvent[] = [];
   const id = { vm: name as VmId, instance: `${name}.1` as InstanceId };
   const loans = new SlotLoans({
     instance: id.instance,
     send: (_, message) => sent.push(message),
-    steer: (event) => told.push(event),
+    steer: (event) => steeringEvents.push(event),
   });
   void loans.start({ failed: () => undefined });
-  return { id, loans, sent, told };
+  return { id, loans, sent, steeringEvents };
 }
 
 beforeEach(() => {
@@ -33,7 +33,7 @@
   vi.useRealTimers();
 });
 
-function lendAfterQuestion(delayMs: number) {
+function lendAfterAsk(delayMs: number) {
   const lender = vm("a");
   const borrower = vm("b");
   borrower.loans.send({
@@ -66,12 +66,12 @@
   return { lender, borrower, message };
 }
 
-test("a grant that was held up on its way ends when the lender takes it back", () => {
-  // A switch holds a grant back for most of its duration. Counted from its
-  // arrival, the borrower would still send to the target after the lender has
-  // the slot back: the target gets more than it has slots.
-  const { lender, borrower } = lendAfterQuestion(700);
-  expect(borrower.told).toEqual([{
+test("a delayed grant ends no later than the lender uses the slot again", () => {
+  // The network delays a grant for most of its duration. With the duration counted
+  // from its arrival, the borrower would still use the slot after the lender uses it
+  // again, and the target would get more requests than it has slots.
+  const { lender, borrower } = lendAfterAsk(700);
+  expect(borrower.steeringEvents).toEqual([{
     kind: "borrowed",
     from: "a",
     target: TARGET,
@@ -79,21 +79,24 @@
     durationMs: 200 + 990 - 900,
   }]);
   vi.advanceTimersByTime(290);
-  expect(lender.told.map(({ kind }) => kind)).toEqual(["asked"]);
+  expect(lender.steeringEvents.map(({ kind }) => kind)).toEqual(["asked"]);
   vi.advanceTimersByTime(200);
-  expect(lender.told.map(({ kind }) => kind)).toEqual(["asked", "loan-ended"]);
+  expect(lender.steeringEvents.map(({ kind }) => kind)).toEqual([
+    "asked",
+    "loan-ended",
+  ]);
 });
 
-test("a grant that arrives after its end, or twice, lends nothing more", () => {
-  // The link was cut for longer than the loan, or a message is repeated.
-  expect(lendAfterQuestion(1_000).borrower.told).toEqual([]);
-  const { lender, borrower, message } = lendAfterQuestion(0);
+test("a grant that arrives after its end, or a second time, has no effect", () => {
+  // The link was down for longer than the loan, or a message is duplicated.
+  expect(lendAfterAsk(1_000).borrower.steeringEvents).toEqual([]);
+  const { lender, borrower, message } = lendAfterAsk(0);
   borrower.loans.send({ kind: "peer", from: lender.id, message });
-  expect(borrower.told).toHaveLength(1);
+  expect(borrower.steeringEvents).toHaveLength(1);
 });
 
-test("a slot that is given back is the lender's again once", () => {
-  const { lender, borrower } = lendAfterQuestion(0);
+test("a returned slot ends the loan exactly once", () => {
+  const { lender, borrower } = lendAfterAsk(0);
   borrower.loans.send({
     kind: "effect",
     effect: { kind: "give-back", to: lender.id.vm, target: TARGET, slots: 1 },
@@ -104,6 +107,8 @@
     lender.loans.send({ kind: "peer", from: borrower.id, message });
   }
   vi.advanceTimersByTime(2_000);
-  const ends = lender.told.filter(({ kind }) => kind === "loan-ended");
+  const ends = lender.steeringEvents.filter(({ kind }) =>
+    kind === "loan-ended"
+  );
   expect(ends).toHaveLength(1);
 });
--- a/packages/daemon/src/steering_task.ts
+++ b/packages/daemon/src/steering_task.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the decisions of this VM: events in, effects out.
+ * Runs the steering of this VM: passes events to it and performs its effects.
  *
  * @module
  */
@@ -20,22 +20,22 @@
   { readonly kind: "dispatch" | "hedge" | "cancel" | "refuse" }
 >;
 
-/** What the task is told. */
+/** Messages of the task. */
 export type SteeringMessage =
   | SteeringEvent
-  /** A policy is in force; the first one starts the decisions. */
+  /** A policy is in force; the first one starts steering. */
   | { readonly kind: "start"; readonly policy: Policy };
 
-/** Construction of the task. */
+/** Options of {@link SteeringTask}. */
 export interface SteeringTaskOptions {
   readonly self: VmId;
   readonly seed: number;
   readonly onPeerEffect: (effect: PeerEffect) => void;
-  /** Called when the decisions have started (again) and know nothing yet. */
+  /** Called when steering has started or restarted, with empty state. */
   readonly onStarted: () => void;
 }
 
-/** Owns the decisions and the exchanges that they are about. */
+/** Owns the steering state and the exchanges that it decides on. */
 export class SteeringTask extends Task<SteeringMessage> {
   readonly #options: SteeringTaskOptions;
   readonly #exchanges = new Map<RequestId, Exchange>();
@@ -47,17 +47,17 @@
     this.#options = options;
   }
 
-  /** Exchanges that still have an attempt or no final answer. */
+  /** Number of exchanges with a running attempt or without a final response. */
   get size(): number {
     return this.#exchanges.size;
   }
 
-  /** The decisions, for what operators ask; undefined before a policy is in force. */
+  /** The steering state, for operators' requests; undefined before a policy is in force. */
   get steering(): Steering | undefined {
     return this.#steering;
   }
 
-  /** An event of one exchange. */
+  /** Handles an event of one exchange. */
   steer(event: SteeringEvent, exchange: Exchange): void {
     if (event.kind === "arrive") {
       if (this.#steering === undefined || !this.running) {
@@ -69,12 +69,12 @@
     this.send(event);
   }
 
-  /** Nothing of the exchange is left. */
+  /** Removes an exchange that has its final response and no running attempt. */
   settled(exchange: Exchange): void {
     this.#exchanges.delete(exchange.id);
   }
 
-  /** Lets time pass, where a decision waits for it. */
+  /** Sends a tick to steering if one is due. */
   tick(now: number): void {
     const next = this.#steering?.nextTick;
     if (next !== undefined && next <= now) {
@@ -103,8 +103,8 @@
   }
 
   /**
-   * What waits is refused: a new start knows nothing of it. Attempts that run
-   * come to their end by themselves.
+   * Refuses waiting requests, which a restarted steering would not know. Running
+   * attempts end by themselves.
    */
   protected override close(): void {
     this.#steering = undefined;
@@ -145,5 +145,5 @@
   }
 }
 
-/** When to come back while the decisions restart: longer than their backoff at first. */
+/** Retry-After of requests refused while steering restarts; longer than the first restart back-off. */
 const RESTART_RETRY_MS = 1_000;
--- a/packages/daemon/src/target_poller.ts
+++ b/packages/daemon/src/target_poller.ts
@@ -1,6 +1,6 @@
 /**
- * Asks the targets of this VM's own region how they are, one after another, so
- * that the questions of a second are spread over it.
+ * Polls the health and load of the targets in this VM's region, spread evenly over
+ * each poll interval.
  *
  * @module
  */
@@ -9,43 +9,43 @@
 import type { TargetId } from "@poplarthread/ids";
 import { Task } from "./task.ts";
 
-/** What a target said of itself. */
+/** Result of polling a target. */
 export interface TargetReport {
   readonly target: TargetId;
   readonly state: "ok" | "cold" | "draining" | "failing";
-  /** Requests in flight of all VMs, where it tells. */
+  /** Requests in flight from all VMs, if the target reports it. */
   readonly inFlight?: number;
-  /** Age of the measurement, in milliseconds, as far as this VM can tell. */
+  /** Maximum age of the report. */
   readonly ageMs: number;
 }
 
-/** What the task is told. */
+/** Messages of the task. */
 export type TargetPollerMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "targets"; readonly targets: readonly TargetId[] };
 
-/** Construction of the task. */
+/** Options of {@link TargetPoller}. */
 export interface TargetPollerOptions {
   readonly poolOf: (target: TargetId) => Dispatcher | undefined;
   readonly onReport: (report: TargetReport) => void;
 }
 
-/** Each target is asked once in this time: two polls within the 2 s that a leave may take. */
-const ROUND_MS = 1_000;
+/** Each target is polled once per interval, so twice within the 2 s that a leave may take. */
+const POLL_INTERVAL_MS = 1_000;
 const TICK_MS = 100;
-/** Load is asked for in each round of so many: it changes faster than it can be told. */
-const ROUNDS_PER_LOAD = 4;
-/** An answer later than this is no answer: a round trip in the region takes 3 ms. */
-const TIMEOUT_MS = 800;
+/** Load is requested once in this many polls, since it changes faster than it can be reported. */
+const POLLS_PER_LOAD = 4;
+/** A target that takes longer counts as failing; a round trip within the region takes 3 ms. */
+const RESPONSE_TIMEOUT_MS = 800;
 
-/** Asks in turn. */
+/** Polls targets in rotation. */
 export class TargetPoller extends Task<TargetPollerMessage> {
   readonly #options: TargetPollerOptions;
-  readonly #asking = new Set<TargetId>();
-  readonly #rounds = new Map<TargetId, number>();
+  readonly #polling = new Set<TargetId>();
+  readonly #pollCounts = new Map<TargetId, number>();
   #targets: readonly TargetId[] = [];
   #next = 0;
-  /** Targets that are due, as a fraction carried from tick to tick. */
+  /** Number of targets due for a poll; its fraction carries over to the next tick. */
   #due = 0;
 
   constructor(options: TargetPollerOptions) {
@@ -63,36 +63,37 @@
         this.#targets = message.targets;
         return;
       case "tick":
-        this.#askSome();
+        this.#pollDueTargets();
         return;
     }
   }
 
   protected override close(): void {
-    this.#rounds.clear();
-    this.#asking.clear();
+    this.#pollCounts.clear();
+    this.#polling.clear();
   }
 
-  #askSome(): void {
+  #pollDueTargets(): void {
     const count = this.#targets.length;
-    this.#due = Math.min(this.#due + count * TICK_MS / ROUND_MS, count);
+    this.#due = Math.min(this.#due + count * TICK_MS / POLL_INTERVAL_MS, count);
     for (; this.#due >= 1; this.#due -= 1) {
       this.#next = (this.#next + 1) % count;
       const target = this.#targets[this.#next]!;
-      if (!this.#asking.has(target)) {
-        this.#asking.add(target);
-        this.spawn(this.#ask(target));
+      if (!this.#polling.has(target)) {
+        this.#polling.add(target);
+        this.spawn(this.#poll(target));
       }
     }
   }
 
   #isLoadDue(target: TargetId): boolean {
-    const round = ((this.#rounds.get(target) ?? 0) + 1) % ROUNDS_PER_LOAD;
-    this.#rounds.set(target, round);
-    return round === 0;
+    const pollCount = ((this.#pollCounts.get(target) ?? 0) + 1) %
+      POLLS_PER_LOAD;
+    this.#pollCounts.set(target, pollCount);
+    return pollCount === 0;
   }
 
-  async #ask(target: TargetId): Promise<void> {
+  async #poll(target: TargetId): Promise<void> {
     const pool = this.#options.poolOf(target);
     const startedAt = performance.now();
     try {
@@ -115,7 +116,7 @@
       const ageMs = performance.now() - startedAt;
       this.#options.onReport({ target, state: "failing", ageMs });
     } finally {
-      this.#asking.delete(target);
+      this.#polling.delete(target);
     }
   }
 }
@@ -127,13 +128,13 @@
     : "failing";
 }
 
-/** Undefined where it answers, but not with what it should. */
+/** Undefined if the status is not 200. */
 async function get(pool: Dispatcher, path: string): Promise<unknown> {
   const res = await pool.request({
     origin: undefined,
     path,
     method: "GET",
-    signal: AbortSignal.timeout(TIMEOUT_MS),
+    signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
   });
   if (res.statusCode !== 200) {
     await res.body.dump();
--- a/packages/daemon/src/testing.ts
+++ b/packages/daemon/src/testing.ts
@@ -1,6 +1,6 @@
 /**
- * A callers' path for tests: the real listener, exchanges, pools and decisions,
- * with targets that a test scripts, and no platform.
+ * The request path of callers for tests: the real listener, exchanges, pools and
+ * steering, with scripted targets and no platform.
  *
  * @module
  */
@@ -41,7 +41,7 @@
 const ZONE = "one-1" as ZoneId;
 const SERVICE = "shop" as ServiceId;
 
-/** Two routes: pages may be repeated, orders run at most once. */
+/** Two routes: requests for pages may be repeated, orders run at most once. */
 export const TEST_PRESET: Preset = validateValue({
   id: "test",
   about: "For tests",
@@ -85,7 +85,7 @@
   lookup: { lifetimeMs: 5_000, regions: 1 },
 }, presetFormat);
 
-/** Settings that listen on loopback ports of the system's choice. */
+/** Settings that listen on loopback ports chosen by the operating system. */
 export function testSettings(limits: Partial<Settings["limits"]>): Settings {
   const listener = { host: "127.0.0.1", port: 0 };
   return validateValue({
@@ -99,34 +99,34 @@
   }, settingsFormat);
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export interface Answer {
   readonly status: number;
   readonly headers: Headers;
   readonly body: string;
 }
 
-/** A path with its targets. */
+/** A running request path with its targets. */
 export interface TestPath {
   readonly port: number;
   readonly listener: CallerListener;
   readonly metrics: Metrics;
-  /** How exchanges ended, in order. */
+  /** Outcomes of the exchanges, in order. */
   readonly ends: ExchangeEnd[];
-  /** One request; rejects where the connection breaks before the answer is whole. */
+  /** Sends one request; rejects if the connection breaks before the response is complete. */
   send(path: string, init?: RequestInit): Promise<Answer>;
-  /** Writes bytes on a connection of its own; gives what came back until its end. */
+  /** Writes bytes on a new connection; resolves with all bytes received until it ends. */
   sendRaw(bytes: Buffer | string): Promise<string>;
   close(): Promise<void>;
 }
 
-/** What differs from test to test. */
+/** Options of {@link startPath}. */
 export interface TestPathOptions {
   readonly limits?: Partial<Settings["limits"]>;
   readonly claims?: KeyedClaims;
 }
 
-/** Starts the path; each of `targets` handles the requests of one target. */
+/** Starts a request path; each of `targets` handles the requests of one target. */
 export async function startPath(
   targets: readonly RequestListener[],
   options: TestPathOptions = {},
--- a/packages/daemon/src/vm_list_task.ts
+++ b/packages/daemon/src/vm_list_task.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the platform's list of VMs now and then.
+ * Polls the platform's list of VMs.
  *
  * @module
  */
@@ -8,32 +8,32 @@
 import type { ListedVm, PlatformClient } from "./platform_client.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type VmListMessage =
   | { readonly kind: "tick" }
   /** Whether this VM is one of its zone's readers. */
   | { readonly kind: "reader"; readonly reader: boolean };
 
-/** Construction of the task. */
+/** Options of {@link VmListTask}. */
 export interface VmListOptions {
   readonly platform: PlatformClient;
   readonly onList: (vms: readonly ListedVm[]) => void;
 }
 
 /**
- * Readers look often, so that a leaving target is noticed within a second; the
- * others rely on what readers spread and look only to catch what was missed.
- * Three readers in each of 25 zones at 500 ms are 150 reads a second.
+ * Readers poll often, so that a leaving target is detected within a second; the
+ * other VMs rely on the facts that readers publish and poll only to find missed ones.
+ * Three readers in each of 25 zones at 500 ms make 150 reads a second.
  */
-const READER_MS = 500;
-const OTHER_MS = 5_000;
+const READER_INTERVAL_MS = 500;
+const OTHER_INTERVAL_MS = 5_000;
 
-/** Polls the list. */
+/** Polls the list at the interval of a reader or of another VM. */
 export class VmListTask extends Task<VmListMessage> {
   readonly #options: VmListOptions;
-  #reader = true;
+  #isReader = true;
   #readAt = -Infinity;
-  #reading = false;
+  #isReading = false;
 
   constructor(options: VmListOptions) {
     super("vm-list");
@@ -41,8 +41,8 @@
   }
 
   protected override open(): void {
-    this.#reading = false;
-    this.sendEvery(READER_MS, { kind: "tick" });
+    this.#isReading = false;
+    this.sendEvery(READER_INTERVAL_MS, { kind: "tick" });
     this.#readAt = -Infinity;
     this.#read();
   }
@@ -53,7 +53,7 @@
         this.#read();
         return;
       case "reader":
-        this.#reader = message.reader;
+        this.#isReader = message.reader;
         return;
     }
   }
@@ -62,12 +62,12 @@
 
   #read(): void {
     const now = performance.now();
-    const periodMs = this.#reader ? READER_MS : OTHER_MS;
-    // A tick that comes a moment early must not skip a whole period.
-    if (this.#reading || now - this.#readAt < periodMs * 0.9) {
+    const periodMs = this.#isReader ? READER_INTERVAL_MS : OTHER_INTERVAL_MS;
+    // A tick that fires slightly early must not skip a complete period.
+    if (this.#isReading || now - this.#readAt < periodMs * 0.9) {
       return;
     }
-    this.#reading = true;
+    this.#isReading = true;
     this.#readAt = now;
     this.spawn(this.#readOnce());
   }
@@ -80,7 +80,7 @@
         throw err;
       }
     } finally {
-      this.#reading = false;
+      this.#isReading = false;
     }
   }
 }
