--- a/packages/daemon/src/backend.ts
+++ b/packages/daemon/src/backend.ts
@@ -126,7 +126,7 @@
       routes: routing()?.routes,
       steering: steering.steering,
       targets: fleet.view.targets,
-      home: this.#parts.settings,
+      self: this.#parts.settings,
     });
   }
 
--- a/packages/daemon/src/configuration_admin.ts
+++ b/packages/daemon/src/configuration_admin.ts
@@ -73,7 +73,8 @@
       return await this.#accept(request);
     } catch (err) {
       if (err instanceof TableError) {
-        // Only reads can throw here: the store reports errors of its writes as outcomes.
+        // Only reads can throw here, as the store returns errors of its writes as
+        // outcomes, so nothing was written.
         return unavailable();
       }
       throw err;
--- a/packages/daemon/src/crash_watch.ts
+++ b/packages/daemon/src/crash_watch.ts
@@ -41,7 +41,7 @@
 interface Suspicion {
   readonly fingerprints: Set<Fingerprint>;
   /** Whether a request on the target completed after the first failure. */
-  alive: boolean;
+  isAlive: boolean;
 }
 
 /** Owns the table of held-back requests. */
@@ -129,7 +129,7 @@
     const { target } = attempt;
     let suspicion = this.#suspicions.get(target);
     if (suspicion === undefined) {
-      suspicion = { fingerprints: new Set(), alive: false };
+      suspicion = { fingerprints: new Set(), isAlive: false };
       this.#suspicions.set(target, suspicion);
       this.sendAfter(GATHER_WINDOW_MS, { kind: "judge", target });
     }
@@ -139,7 +139,7 @@
   #markAlive(exchange: Exchange, attempt: Attempt): void {
     const suspicion = this.#suspicions.get(attempt.target);
     if (suspicion !== undefined) {
-      suspicion.alive = true;
+      suspicion.isAlive = true;
     }
     if (this.#heldBack.size > 0) {
       const fingerprint = fingerprintOf(exchange);
@@ -153,7 +153,7 @@
   #assess(target: TargetId): void {
     const suspicion = this.#suspicions.get(target);
     this.#suspicions.delete(target);
-    if (suspicion === undefined || suspicion.alive) {
+    if (suspicion === undefined || suspicion.isAlive) {
       return;
     }
     const messages = this.#heldBack.targetCrashed(
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -160,7 +160,7 @@
       instance: this.instance,
       holders: {
         ask: ({ instance, claim, attempt }, waitMs) =>
-          this.#queries.askHolder({ instance, claim, attempt }, waitMs),
+          this.#queries.queryHolder({ instance, claim, attempt }, waitMs),
       },
     });
     const seed = randomBytes(4).readInt32LE();
--- a/packages/daemon/src/demand.ts
+++ b/packages/daemon/src/demand.ts
@@ -9,7 +9,7 @@
 /** Time constant of the decaying mean: about two planning steps. */
 const MEAN_WINDOW_MS = 5_000;
 
-interface Entry {
+interface ServiceDemand {
   current: number;
   mean: number;
   updatedAt: number;
@@ -17,7 +17,7 @@
 
 /** Counts requests by service and keeps a decaying mean. */
 export class Demand {
-  readonly #entries = new Map<ServiceId, Entry>();
+  readonly #entries = new Map<ServiceId, ServiceDemand>();
 
   /** Registers the services, so that one without requests reports a mean of 0. */
   setServices(services: readonly ServiceId[], now: number): void {
@@ -40,18 +40,18 @@
     });
   }
 
-  #change(service: ServiceId, by: number, now: number): void {
+  #change(service: ServiceId, delta: number, now: number): void {
     let entry = this.#entries.get(service);
     if (entry === undefined) {
       entry = { current: 0, mean: 0, updatedAt: now };
       this.#entries.set(service, entry);
     }
     decay(entry, now);
-    entry.current += by;
+    entry.current += delta;
   }
 }
 
-function decay(entry: Entry, now: number): void {
+function decay(entry: ServiceDemand, now: number): void {
   const weight = Math.exp((entry.updatedAt - now) / MEAN_WINDOW_MS);
   entry.mean = entry.mean * weight + entry.current * (1 - weight);
   entry.updatedAt = now;
--- a/packages/daemon/src/explanation.ts
+++ b/packages/daemon/src/explanation.ts
@@ -15,7 +15,7 @@
   readonly routes: RouteTable | undefined;
   readonly steering: Steering | undefined;
   readonly targets: readonly FleetTarget[];
-  readonly home: { readonly region: RegionId; readonly zone: ZoneId };
+  readonly self: { readonly region: RegionId; readonly zone: ZoneId };
 }
 
 /** Explains one request. */
@@ -73,7 +73,7 @@
   longest: string,
 ) {
   const locations = new Map(input.targets.map((one) => [one.id, one]));
-  const { region, zone } = input.home;
+  const { region, zone } = input.self;
   const best = free.toSorted((a, b) => {
     const one = locations.get(a.target);
     const other = locations.get(b.target);
--- a/packages/daemon/src/fleet.ts
+++ b/packages/daemon/src/fleet.ts
@@ -67,7 +67,7 @@
   #drainedZones: ReadonlySet<string> = new Set();
   #isSelfLeaving = false;
   #view: FleetView = { vms: [], targets: [] };
-  #signature = "";
+  #viewJson = "";
 
   constructor(options: FleetOptions) {
     super("fleet");
@@ -153,7 +153,7 @@
   }
 
   protected override close(): void {
-    this.#signature = "";
+    this.#viewJson = "";
   }
 
   #setDrains({ drains }: Configuration): void {
@@ -177,9 +177,9 @@
           cold: this.#coldTargets.has(one.id),
         })),
     };
-    const signature = JSON.stringify(view);
-    if (signature !== this.#signature) {
-      this.#signature = signature;
+    const viewJson = JSON.stringify(view);
+    if (viewJson !== this.#viewJson) {
+      this.#viewJson = viewJson;
       this.#view = view;
       this.#options.onView(view);
     }
@@ -187,7 +187,7 @@
 
   /**
    * Membership takes precedence over the list, which lags, except where the list
-   * shows a VM as leaving: that is never wrong.
+   * shows a VM as leaving, which it never does in error.
    */
   #effectiveStateOf(entry: ListedEntry): VmStatus["state"] {
     if (entry.id === this.#options.self && this.#isSelfLeaving) {
--- a/packages/daemon/src/fleet_entries.ts
+++ b/packages/daemon/src/fleet_entries.ts
@@ -71,7 +71,7 @@
   });
 }
 
-/** Whether each region is lost, which means that membership holds all its VMs dead. */
+/** Whether each region is lost, which means that heartbeats show all its VMs as dead. */
 export function regionStates(
   view: FleetView,
 ): readonly { readonly region: RegionId; readonly lost: boolean }[] {
--- a/packages/daemon/src/lookups.ts
+++ b/packages/daemon/src/lookups.ts
@@ -117,7 +117,7 @@
   }
 
   /** The response for a caller that names no zone; undefined before `set`. */
-  get ownPage(): LookupPage | undefined {
+  get localPage(): LookupPage | undefined {
     return this.#localPage;
   }
 
--- a/packages/daemon/src/membership_task.ts
+++ b/packages/daemon/src/membership_task.ts
@@ -49,7 +49,7 @@
 /** Owns the {@link Membership} state machine. */
 export class MembershipTask extends Task<MembershipTaskMessage> {
   readonly #options: MembershipTaskOptions;
-  #core: Membership | undefined;
+  #membership: Membership | undefined;
   #address: string;
   #revision = 0;
 
@@ -60,7 +60,7 @@
   }
 
   get members(): readonly Member[] {
-    return this.#core?.members() ?? [];
+    return this.#membership?.members() ?? [];
   }
 
   protected override open(): void {
@@ -69,43 +69,43 @@
   }
 
   protected override receive(message: MembershipTaskMessage): void {
-    const core = this.#core!;
+    const membership = this.#membership!;
     const now = performance.now();
     switch (message.kind) {
       case "tick":
-        this.#perform(core.tick(now));
+        this.#perform(membership.tick(now));
         return;
       case "peer":
-        this.#perform(core.receive(message.message, now));
+        this.#perform(membership.receive(message.message, now));
         return;
       case "listed":
         this.#listed(message.entries, now);
         return;
       case "publish":
-        this.#perform(core.publish(message.fact, now));
+        this.#perform(membership.publish(message.fact, now));
         return;
       case "revision":
         this.#revision = message.revision;
-        core.setRevision(message.revision);
+        membership.setRevision(message.revision);
         return;
       case "leave":
-        this.#perform(core.leave(now));
+        this.#perform(membership.leave(now));
         return;
     }
   }
 
   protected override close(): void {
-    this.#core = undefined;
+    this.#membership = undefined;
   }
 
   #start(): void {
     const { self, seed } = this.#options;
-    this.#core = new Membership({
+    this.#membership = new Membership({
       self: { ...self, address: this.#address },
       random: xorshift128plus(seed),
     });
-    this.#core.setRevision(this.#revision);
-    for (const member of this.#core.members()) {
+    this.#membership.setRevision(this.#revision);
+    for (const member of this.#membership.members()) {
       this.#options.onEffect({ kind: "changed", member, before: undefined });
     }
   }
@@ -118,14 +118,14 @@
       this.#address = selfEntry.peer;
       this.#start();
     }
-    const list = entries.map((one) => ({
+    const listedMembers = entries.map((one) => ({
       vm: one.id,
       region: one.region,
       zone: one.zone,
       address: one.peer,
       state: one.state,
     }));
-    this.#perform(this.#core!.listed(list, now));
+    this.#perform(this.#membership!.listed(listedMembers, now));
   }
 
   #perform(effects: readonly MembershipEffect[]): void {
--- a/packages/daemon/src/peer_queries.ts
+++ b/packages/daemon/src/peer_queries.ts
@@ -36,7 +36,7 @@
   }
 
   /** Queries the instance that holds a claim. */
-  async askHolder(
+  async queryHolder(
     question: HolderQuestion,
     waitMs: number,
   ): Promise<HolderAnswer> {
--- a/packages/daemon/src/plan_task_test.ts
+++ b/packages/daemon/src/plan_task_test.ts
@@ -127,7 +127,7 @@
     sequenceAt: (vm: VmId) => tasks.get(vm)!.plan?.sequence,
     planningVm: () => NAMES.find((vm) => tasks.get(vm)!.planning)!,
     /** Whether a VM may still use its plan. */
-    holds: (vm: VmId) => {
+    isPlanValid: (vm: VmId) => {
       const { endsAt } = plans.get(vm) ?? { endsAt: 0 };
       return performance.now() < endsAt;
     },
@@ -145,26 +145,26 @@
 // If plans expired because of that, no request would be served, although no planner
 // can reassign slots meanwhile.
 test("a plan stays valid during a table outage, also for VMs that are partitioned together", async () => {
-  const { start, table, isolated, holds } = fleet();
+  const { start, table, isolated, isPlanValid } = fleet();
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
-  expect(NAMES.filter(holds)).toEqual(NAMES);
+  expect(NAMES.filter(isPlanValid)).toEqual(NAMES);
   table.isUnavailable = true;
   isolated.add("d" as VmId).add("e" as VmId);
   await vi.advanceTimersByTimeAsync(120_000);
-  expect(NAMES.filter(holds)).toEqual(NAMES);
+  expect(NAMES.filter(isPlanValid)).toEqual(NAMES);
 });
 
 // A VM is isolated from all others and from the table. It cannot be notified that its
 // slots were reassigned, so it must stop using them by itself.
 test("a plan expires on a VM that reaches neither the table nor another VM", async () => {
-  const { start, table, isolated, holds } = fleet();
+  const { start, table, isolated, isPlanValid } = fleet();
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
   table.isUnavailable = true;
   isolated.add("e" as VmId);
   await vi.advanceTimersByTimeAsync(16_000);
-  expect(NAMES.filter(holds)).toEqual(NAMES.slice(0, 4));
+  expect(NAMES.filter(isPlanValid)).toEqual(NAMES.slice(0, 4));
 });
 
 // The planner still reaches the table, but no other VM. It continues to plan without
@@ -185,7 +185,7 @@
 // A daemon is restarted while the table is unavailable, so that no plan can name its
 // new instance. Its slots would stay idle for as long as the outage lasts.
 test("a restarted daemon takes the place of its earlier instance if all VMs agree", async () => {
-  const { start, restart, table, isolated, holds } = fleet();
+  const { start, restart, table, isolated, isPlanValid } = fleet();
   const [vm, peer, other] = ["b", "c", "e"] as VmId[];
   await start();
   await vi.advanceTimersByTimeAsync(20_000);
@@ -193,8 +193,8 @@
   isolated.add(other!);
   await restart(vm!, peer!);
   await vi.advanceTimersByTimeAsync(10_000);
-  expect(holds(vm!)).toBe(false);
+  expect(isPlanValid(vm!)).toBe(false);
   isolated.delete(other!);
   await vi.advanceTimersByTimeAsync(10_000);
-  expect(holds(vm!)).toBe(true);
+  expect(isPlanValid(vm!)).toBe(true);
 });
--- a/packages/daemon/src/slot_loans.ts
+++ b/packages/daemon/src/slot_loans.ts
@@ -39,7 +39,8 @@
   readonly steer: (event: SteeringEvent) => void;
 }
 
-/** Share of a loan's duration by which the borrower ends it early; a clock that is not stepped drifts by less than 0.05%, far below. */
+/** Share of a loan's duration by which the borrower ends it early. Clocks that are not
+ * stepped drift by less than 0.05%, so 1% is ample. */
 const CLOCK_DRIFT_MARGIN = 0.01;
 const TICK_MS = 100;
 /** Sent requests remembered per VM; a grant for an older one is useless. */
@@ -156,8 +157,8 @@
     this.#loanCount += 1;
     const loan = `${this.#options.instance}/${this.#loanCount}`;
     this.#lent.set(loan, { to, target, slots, endsAt: now + durationMs });
-    const question = this.#receivedAsks.get(to);
-    if (question === undefined) {
+    const ask = this.#receivedAsks.get(to);
+    if (ask === undefined) {
       // Without a request the borrower cannot tell when the loan starts, so no grant
       // is sent. The slots become usable again when the loan expires.
       return;
@@ -168,8 +169,8 @@
       target,
       slots,
       durationMs,
-      question: question.question,
-      askAgeMs: now - question.receivedAt,
+      question: ask.question,
+      askAgeMs: now - ask.receivedAt,
     });
   }
 
--- a/packages/daemon/src/target_poller.ts
+++ b/packages/daemon/src/target_poller.ts
@@ -44,9 +44,9 @@
   readonly #polling = new Set<TargetId>();
   readonly #pollCounts = new Map<TargetId, number>();
   #targets: readonly TargetId[] = [];
-  #next = 0;
+  #nextIndex = 0;
   /** Number of targets due for a poll; its fraction carries over to the next tick. */
-  #due = 0;
+  #duePolls = 0;
 
   constructor(options: TargetPollerOptions) {
     super("target-poller");
@@ -75,10 +75,13 @@
 
   #pollDueTargets(): void {
     const count = this.#targets.length;
-    this.#due = Math.min(this.#due + count * TICK_MS / POLL_INTERVAL_MS, count);
-    for (; this.#due >= 1; this.#due -= 1) {
-      this.#next = (this.#next + 1) % count;
-      const target = this.#targets[this.#next]!;
+    this.#duePolls = Math.min(
+      this.#duePolls + count * TICK_MS / POLL_INTERVAL_MS,
+      count,
+    );
+    for (; this.#duePolls >= 1; this.#duePolls -= 1) {
+      this.#nextIndex = (this.#nextIndex + 1) % count;
+      const target = this.#targets[this.#nextIndex]!;
       if (!this.#polling.has(target)) {
         this.#polling.add(target);
         this.spawn(this.#poll(target));
--- a/packages/daemon/src/testing.ts
+++ b/packages/daemon/src/testing.ts
@@ -100,7 +100,7 @@
 }
 
 /** The response that a caller received. */
-export interface Answer {
+export interface CallerResponse {
   readonly status: number;
   readonly headers: Headers;
   readonly body: string;
@@ -114,7 +114,7 @@
   /** Outcomes of the exchanges, in order. */
   readonly ends: ExchangeEnd[];
   /** Sends one request; rejects if the connection breaks before the response is complete. */
-  send(path: string, init?: RequestInit): Promise<Answer>;
+  send(path: string, init?: RequestInit): Promise<CallerResponse>;
   /** Writes bytes on a new connection; resolves with all bytes received until it ends. */
   sendRaw(bytes: Buffer | string): Promise<string>;
   close(): Promise<void>;
@@ -218,7 +218,7 @@
     listener,
     metrics,
     ends,
-    async send(path, init): Promise<Answer> {
+    async send(path, init): Promise<CallerResponse> {
       const res = await fetch(`http://127.0.0.1:${port}${path}`, init);
       const { status, headers } = res;
       return { status, headers, body: await res.text() };
