--- a/packages/daemon/src/demand.ts
+++ b/packages/daemon/src/demand.ts
@@ -1,15 +1,15 @@
 /**
- * How many slots the requests of this VM keep busy or wait for, by service.
+ * Mean number of slots that the requests of this VM use or wait for, by service.
  *
  * @module
  */
 
 import type { ServiceId } from "@poplarthread/ids";
 
-/** The mean is taken over about this long: two steps of a plan. */
-const WINDOW_MS = 5_000;
+/** Time constant of the decaying mean: about two planning steps. */
+const MEAN_WINDOW_MS = 5_000;
 
-interface Entry {
+interface ServiceDemand {
   current: number;
   mean: number;
   updatedAt: number;
@@ -17,22 +17,22 @@
 
 /** Counts requests by service and keeps a decaying mean. */
 export class Demand {
-  readonly #entries = new Map<ServiceId, Entry>();
+  readonly #entries = new Map<ServiceId, ServiceDemand>();
 
-  /** These are the services: one without requests has a mean of 0, which is known. */
-  watch(services: readonly ServiceId[], now: number): void {
+  /** Registers the services, so that one without requests reports a mean of 0. */
+  setServices(services: readonly ServiceId[], now: number): void {
     services.forEach((service) => this.#change(service, 0, now));
   }
 
-  began(service: ServiceId, now: number): void {
+  requestStarted(service: ServiceId, now: number): void {
     this.#change(service, 1, now);
   }
 
-  ended(service: ServiceId, now: number): void {
+  requestEnded(service: ServiceId, now: number): void {
     this.#change(service, -1, now);
   }
 
-  /** The means as of now. */
+  /** The means at `now`. */
   means(now: number): readonly { service: ServiceId; slots: number }[] {
     return [...this.#entries].map(([service, entry]) => {
       decay(entry, now);
@@ -40,19 +40,19 @@
     });
   }
 
-  #change(service: ServiceId, by: number, now: number): void {
+  #change(service: ServiceId, delta: number, now: number): void {
     let entry = this.#entries.get(service);
     if (entry === undefined) {
       entry = { current: 0, mean: 0, updatedAt: now };
       this.#entries.set(service, entry);
     }
     decay(entry, now);
-    entry.current += by;
+    entry.current += delta;
   }
 }
 
-function decay(entry: Entry, now: number): void {
-  const weight = Math.exp((entry.updatedAt - now) / WINDOW_MS);
+function decay(entry: ServiceDemand, now: number): void {
+  const weight = Math.exp((entry.updatedAt - now) / MEAN_WINDOW_MS);
   entry.mean = entry.mean * weight + entry.current * (1 - weight);
   entry.updatedAt = now;
 }
--- a/packages/daemon/src/membership_task.ts
+++ b/packages/daemon/src/membership_task.ts
@@ -1,5 +1,5 @@
 /**
- * Runs membership: heartbeats to peers, and facts that all VMs should know.
+ * Runs membership: heartbeats to peers, and the dissemination of facts to all VMs.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 import type { ListedEntry } from "./platform_client.ts";
 import { Task } from "./task.ts";
 
-/** What the task is told. */
+/** Messages of the task. */
 export type MembershipTaskMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: MembershipMessage }
@@ -26,10 +26,10 @@
   | { readonly kind: "revision"; readonly revision: number }
   | { readonly kind: "leave" };
 
-/** Construction of the task. */
+/** Options of {@link MembershipTask}. */
 export interface MembershipTaskOptions {
   readonly self: PeerId & { readonly region: RegionId; readonly zone: ZoneId };
-  /** Address of this VM's own listener, until the list says how peers reach it. */
+  /** Address of this VM's peer listener, used until the list shows the one that peers use. */
   readonly address: string;
   readonly seed: number;
   readonly send: (
@@ -37,19 +37,19 @@
     address: string,
     message: MembershipMessage,
   ) => void;
-  /** Every effect but `send`. */
+  /** Called with every effect except `send`. */
   readonly onEffect: (
     effect: Exclude<MembershipEffect, { kind: "send" }>,
   ) => void;
 }
 
-/** What the core asks for. */
+/** The tick interval that {@link Membership} expects. */
 const TICK_MS = 100;
 
-/** Owns the membership core. */
+/** Owns the {@link Membership} state machine. */
 export class MembershipTask extends Task<MembershipTaskMessage> {
   readonly #options: MembershipTaskOptions;
-  #core: Membership | undefined;
+  #membership: Membership | undefined;
   #address: string;
   #revision = 0;
 
@@ -60,7 +60,7 @@
   }
 
   get members(): readonly Member[] {
-    return this.#core?.members() ?? [];
+    return this.#membership?.members() ?? [];
   }
 
   protected override open(): void {
@@ -69,63 +69,63 @@
   }
 
   protected override receive(message: MembershipTaskMessage): void {
-    const core = this.#core!;
+    const membership = this.#membership!;
     const now = performance.now();
     switch (message.kind) {
       case "tick":
-        this.#perform(core.tick(now));
+        this.#perform(membership.tick(now));
         return;
       case "peer":
-        this.#perform(core.receive(message.message, now));
+        this.#perform(membership.receive(message.message, now));
         return;
       case "listed":
         this.#listed(message.entries, now);
         return;
       case "publish":
-        this.#perform(core.publish(message.fact, now));
+        this.#perform(membership.publish(message.fact, now));
         return;
       case "revision":
         this.#revision = message.revision;
-        core.setRevision(message.revision);
+        membership.setRevision(message.revision);
         return;
       case "leave":
-        this.#perform(core.leave(now));
+        this.#perform(membership.leave(now));
         return;
     }
   }
 
   protected override close(): void {
-    this.#core = undefined;
+    this.#membership = undefined;
   }
 
   #start(): void {
     const { self, seed } = this.#options;
-    this.#core = new Membership({
+    this.#membership = new Membership({
       self: { ...self, address: this.#address },
       random: xorshift128plus(seed),
     });
-    this.#core.setRevision(this.#revision);
-    for (const member of this.#core.members()) {
+    this.#membership.setRevision(this.#revision);
+    for (const member of this.#membership.members()) {
       this.#options.onEffect({ kind: "changed", member, before: undefined });
     }
   }
 
   #listed(entries: readonly ListedEntry[], now: number): void {
-    const own = entries.find((one) => one.id === this.#options.self.vm);
-    if (own !== undefined && own.peer !== this.#address) {
-      // Peers reach this VM under another address than the one it binds, as
-      // behind a forwarder: what it tells of itself has to be that one.
-      this.#address = own.peer;
+    const selfEntry = entries.find((one) => one.id === this.#options.self.vm);
+    if (selfEntry !== undefined && selfEntry.peer !== this.#address) {
+      // Peers reach this VM at another address than the one it binds, for example
+      // behind a forwarder, so that it must announce the listed address.
+      this.#address = selfEntry.peer;
       this.#start();
     }
-    const list = entries.map((one) => ({
+    const listedMembers = entries.map((one) => ({
       vm: one.id,
       region: one.region,
       zone: one.zone,
       address: one.peer,
       state: one.state,
     }));
-    this.#perform(this.#core!.listed(list, now));
+    this.#perform(this.#membership!.listed(listedMembers, now));
   }
 
   #perform(effects: readonly MembershipEffect[]): void {
