--- a/packages/bench/src/decisions/scheme_steering.ts
+++ b/packages/bench/src/decisions/scheme_steering.ts
@@ -196,7 +196,7 @@
   }
 
   #setTick(node: Node): void {
-    const at = node.steering.nextTick;
+    const at = node.steering.nextTickAt;
     if (at === undefined || at >= node.tickAt) return;
     node.tickAt = Math.max(at, this.#now + 0.1);
     const due = node.tickAt;
--- a/packages/coordination/src/claims/attempt.ts
+++ b/packages/coordination/src/claims/attempt.ts
@@ -19,7 +19,7 @@
   claimOf,
   type ClaimRecord,
   type ClaimRow,
-  type StoredAnswer,
+  type StoredResponse,
 } from "./claim_row.ts";
 
 /** What "not run" covers when an attempt is refused. */
@@ -35,7 +35,7 @@
 /** Why an attempt may not run, as reported to the caller. */
 export type ClaimRefusal =
   /** An earlier attempt ran, with this response. */
-  | { readonly kind: "answered"; readonly answer: StoredAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredResponse }
   /** An earlier attempt ran; its response was too large to store. */
   | { readonly kind: "answered-unkept"; readonly status: number }
   /** The key was used for a different request. */
@@ -48,10 +48,10 @@
   | { readonly kind: "not-run"; readonly proof: NotRunProof };
 
 /** The response of the instance that holds a claim. */
-export type HolderAnswer =
+export type HolderResponse =
   /** That attempt never ran and never will, or its outcome is in the table. */
   | { readonly kind: "free" }
-  | { readonly kind: "answered"; readonly answer: StoredAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredResponse }
   | { readonly kind: "answered-unkept"; readonly status: number }
   | { readonly kind: "unknown" }
   /** Still running when the querying instance's wait time ran out. */
@@ -63,7 +63,7 @@
 
 /** How a dispatched request ended. */
 export type RunOutcome =
-  | { readonly kind: "answered"; readonly answer: StoredAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredResponse }
   | { readonly kind: "answered-unkept"; readonly status: number }
   | { readonly kind: "unknown" }
   /** Nothing was sent, or the target reported that it refused without running. */
@@ -113,7 +113,7 @@
   | { readonly kind: "failed"; readonly effect: TableEffect }
   /** The row was read back. */
   | { readonly kind: "row"; readonly row: Row }
-  | { readonly kind: "holder"; readonly answer: HolderAnswer }
+  | { readonly kind: "holder"; readonly answer: HolderResponse }
   /** A slot is available: about to send to a target. */
   | { readonly kind: "dispatch" }
   /** The run ended, or was cancelled before dispatch. */
@@ -311,7 +311,7 @@
 function afterHolder(
   attempt: Attempt,
   phase: Extract<AttemptPhase, { kind: "asking" }>,
-  answer: HolderAnswer,
+  answer: HolderResponse,
 ): AttemptResult {
   switch (answer.kind) {
     case "free":
@@ -397,7 +397,9 @@
  * one that is not in memory. An attempt is removed from memory only when it is
  * closed, and a closed one never dispatches, so `free` is safe.
  */
-export function answerForHolder(attempt: Attempt | undefined): HolderAnswer {
+export function holderResponseFor(
+  attempt: Attempt | undefined,
+): HolderResponse {
   switch (attempt?.phase.kind) {
     case undefined:
     case "closed":
@@ -413,7 +415,7 @@
   }
 }
 
-function recordedAnswer(record: ClaimRecord): HolderAnswer {
+function recordedAnswer(record: ClaimRecord): HolderResponse {
   switch (record.kind) {
     case "claimed":
       return { kind: "running" };
--- a/packages/coordination/src/claims/claim_row.ts
+++ b/packages/coordination/src/claims/claim_row.ts
@@ -17,7 +17,7 @@
 export const CLAIM_PREFIX = "claim/";
 
 /** A response as stored for duplicates of its request. */
-export interface StoredAnswer {
+export interface StoredResponse {
   readonly status: number;
   readonly headers: readonly (readonly [string, string])[];
   /** Body in base64, since the table stores JSON and a body may hold any bytes. */
@@ -29,7 +29,7 @@
   /** Claimed by an attempt that may run it at any time. */
   | { readonly kind: "claimed" }
   /** Ran, with this response. */
-  | { readonly kind: "answered"; readonly answer: StoredAnswer }
+  | { readonly kind: "answered"; readonly answer: StoredResponse }
   /** Ran, but its response exceeded the size limit for storing. */
   | { readonly kind: "answered-unkept"; readonly status: number }
   /** Was sent to a target; whether it ran is unknown. */
--- a/packages/coordination/src/claims/claims.ts
+++ b/packages/coordination/src/claims/claims.ts
@@ -9,13 +9,13 @@
 import type { Table } from "../table.ts";
 import {
   advanceAttempt,
-  answerForHolder,
   type Attempt,
   type AttemptEffect,
   type AttemptEvent,
   attemptKey,
   type ClaimRefusal,
-  type HolderAnswer,
+  type HolderResponse,
+  holderResponseFor,
   type RunOutcome,
   startAttempt,
 } from "./attempt.ts";
@@ -42,7 +42,7 @@
 const NOT_RUN_RETRY_MS = 2_000;
 
 /** A query to the instance that holds a claim. */
-export interface HolderQuestion {
+export interface HolderQuery {
   readonly instance: InstanceId;
   readonly claim: ClaimId;
   readonly attempt: AttemptId;
@@ -55,7 +55,7 @@
    * `dead` only if that instance can never dispatch again, and `unreachable`
    * if it may still be alive. Never throws.
    */
-  ask(query: HolderQuestion, waitMs: number): Promise<HolderAnswer>;
+  ask(query: HolderQuery, waitMs: number): Promise<HolderResponse>;
 }
 
 /** Options of {@link RequestClaims}. */
@@ -172,16 +172,16 @@
   }
 
   /** Handles the query of a peer that found a claim of this instance. */
-  async answerPeer(
-    query: HolderQuestion,
+  async handleHolderQuery(
+    query: HolderQuery,
     waitMs: number,
-  ): Promise<HolderAnswer> {
+  ): Promise<HolderResponse> {
     if (query.instance !== this.#options.instance) {
       // An earlier instance on this VM: it has ended and can never dispatch.
       return { kind: "dead" };
     }
     const tracked = this.#tracked.get(query.attempt);
-    const response = answerForHolder(tracked?.attempt);
+    const response = holderResponseFor(tracked?.attempt);
     if (tracked === undefined || response.kind !== "running") {
       return response;
     }
@@ -192,7 +192,7 @@
         resolve();
       });
     });
-    return answerForHolder(tracked.attempt);
+    return holderResponseFor(tracked.attempt);
   }
 
   #nextAttemptId(): AttemptId {
@@ -203,7 +203,7 @@
   #advance(tracked: TrackedAttempt, event: AttemptEvent): void {
     const { attempt, effects } = advanceAttempt(tracked.attempt, event);
     tracked.attempt = attempt;
-    const hasOutcome = answerForHolder(attempt).kind !== "running";
+    const hasOutcome = holderResponseFor(attempt).kind !== "running";
     if (hasOutcome) {
       tracked.waiters.splice(0).forEach((wake) => wake());
     }
@@ -273,7 +273,7 @@
     const { instance, attempt } = row;
     const query = { instance, attempt, claim: tracked.attempt.claim };
     const answer = instance === this.#options.instance
-      ? await this.answerPeer(query, tracked.waitMs)
+      ? await this.handleHolderQuery(query, tracked.waitMs)
       : await this.#options.holders.ask(query, tracked.waitMs);
     this.#advance(tracked, { kind: "holder", answer });
   }
--- a/packages/coordination/src/claims/claims_test.ts
+++ b/packages/coordination/src/claims/claims_test.ts
@@ -17,7 +17,7 @@
     const instance = id<InstanceId>(name);
     const holders = {
       ask: async (query: { instance: InstanceId }, waitMs: number) =>
-        await vms.get(query.instance)?.answerPeer(
+        await vms.get(query.instance)?.handleHolderQuery(
           query as never,
           waitMs,
         ) ?? { kind: "dead" } as const,
@@ -221,7 +221,7 @@
     const table = new MemoryTable();
     const a = fleet(table, ["a"]).get("a")!;
     await settle(a.claim(REQUEST));
-    const sweep = new ClaimSweep(table, { isMine: () => true });
+    const sweep = new ClaimSweep(table, { isSweeper: () => true });
     const key = claimKey(claimId(REQUEST.scope, KEY));
     await vi.advanceTimersByTimeAsync(CLAIM_LIFETIME_MS - 60_000);
     await sweep.sweepPage();
--- a/packages/coordination/src/claims/mod.ts
+++ b/packages/coordination/src/claims/mod.ts
@@ -6,17 +6,17 @@
 
 export type {
   ClaimRefusal,
-  HolderAnswer,
+  HolderResponse,
   NotRunProof,
   RunOutcome,
 } from "./attempt.ts";
 export type { BatchOptions } from "./batch.ts";
-export type { AttemptId, ClaimId, StoredAnswer } from "./claim_row.ts";
+export type { AttemptId, ClaimId, StoredResponse } from "./claim_row.ts";
 export {
   type ClaimGrant,
   type ClaimHolders,
   type ClaimOutcome,
-  type HolderQuestion,
+  type HolderQuery,
   type KeyedRequest,
   RequestClaims,
   type RequestClaimsOptions,
--- a/packages/coordination/src/claims/sweep.ts
+++ b/packages/coordination/src/claims/sweep.ts
@@ -21,7 +21,7 @@
 /** Options of a {@link ClaimSweep}. */
 export interface ClaimSweepOptions {
   /** Whether this VM is currently the one that sweeps, for example because it holds a lease. */
-  readonly isMine: () => boolean;
+  readonly isSweeper: () => boolean;
 }
 
 /** Scans all claims repeatedly, one page a second. */
@@ -34,7 +34,7 @@
 
   constructor(table: Table, options: ClaimSweepOptions) {
     this.#table = table;
-    this.#isSweeper = options.isMine;
+    this.#isSweeper = options.isSweeper;
   }
 
   start(): void {
--- a/packages/coordination/src/dissemination/dissemination.ts
+++ b/packages/coordination/src/dissemination/dissemination.ts
@@ -13,7 +13,7 @@
   DisseminationMessage,
 } from "./messages.ts";
 import { PushTree } from "./push_tree.ts";
-import { type Ranked, readersOf } from "./ranks.ts";
+import { type RankedMember, readersOf } from "./ranks.ts";
 
 /**
  * Longer changes are offered first, so that they are not sent to VMs that already
@@ -44,7 +44,7 @@
   readonly #from: Sender;
   readonly #log = new ChangeLog();
   readonly #unacknowledged = new Map<VmId, Unacknowledged>();
-  #members: readonly Ranked[] = [];
+  #members: readonly RankedMember[] = [];
   #tree: PushTree | undefined;
   #revision = 0;
   #pulledAt = -Infinity;
@@ -66,7 +66,7 @@
   }
 
   /** Sets the members from which the tree is built; call it when membership changes. */
-  setMembers(members: readonly Ranked[]): void {
+  setMembers(members: readonly RankedMember[]): void {
     this.#members = members;
     this.#tree = undefined;
   }
--- a/packages/coordination/src/dissemination/mod.ts
+++ b/packages/coordination/src/dissemination/mod.ts
@@ -11,5 +11,5 @@
   DisseminationMessage,
 } from "./messages.ts";
 export { rankedIn, READERS_PER_ZONE, readersOf } from "./ranks.ts";
-export type { Ranked } from "./ranks.ts";
+export type { RankedMember } from "./ranks.ts";
 export { Dissemination, type DisseminationOptions } from "./dissemination.ts";
--- a/packages/coordination/src/dissemination/push_tree.ts
+++ b/packages/coordination/src/dissemination/push_tree.ts
@@ -7,7 +7,7 @@
  */
 
 import type { VmId, ZoneId } from "@poplarthread/ids";
-import { type Ranked, rankedIn } from "./ranks.ts";
+import { rankedIn, type RankedMember } from "./ranks.ts";
 
 /** Children per node. With 4, a zone of 120 members has four levels, and 25 zones have three. */
 const FAN_OUT = 4;
@@ -18,9 +18,9 @@
   readonly #ranked = new Map<ZoneId, readonly VmId[]>();
   readonly #zones: readonly ZoneId[];
 
-  constructor(members: readonly Ranked[]) {
+  constructor(members: readonly RankedMember[]) {
     const alive = members.filter(({ state }) => state !== "dead");
-    const byZone = new Map<ZoneId, Ranked[]>();
+    const byZone = new Map<ZoneId, RankedMember[]>();
     for (const member of alive) {
       const inZone = byZone.get(member.zone) ?? [];
       inZone.push(member);
--- a/packages/coordination/src/dissemination/ranks.ts
+++ b/packages/coordination/src/dissemination/ranks.ts
@@ -14,7 +14,7 @@
 export const READERS_PER_ZONE = 3;
 
 /** The fields of a member that ranking uses. */
-export type Ranked = Pick<Member, "vm" | "zone" | "state">;
+export type RankedMember = Pick<Member, "vm" | "zone" | "state">;
 
 /**
  * The members of a zone that are not dead, by rank. Those that are leaving or
@@ -22,7 +22,7 @@
  */
 export function rankedIn(
   zone: ZoneId,
-  members: readonly Ranked[],
+  members: readonly RankedMember[],
 ): readonly VmId[] {
   return members
     .filter((member) => member.zone === zone && member.state !== "dead")
@@ -40,7 +40,7 @@
 /** The VMs that read the table for a zone: the highest-ranked ones in state `joined`. */
 export function readersOf(
   zone: ZoneId,
-  members: readonly Ranked[],
+  members: readonly RankedMember[],
 ): readonly VmId[] {
   const joined = members.filter(({ state }) => state === "joined");
   return rankedIn(zone, joined).slice(0, READERS_PER_ZONE);
--- a/packages/coordination/src/escrow/escrow.ts
+++ b/packages/coordination/src/escrow/escrow.ts
@@ -128,7 +128,7 @@
   }
 
   /** Requests loans until this VM holds `slots` of a pool; 0 stops the requests. */
-  want(pool: PoolId, slots: number, now: number): readonly EscrowEffect[] {
+  setWanted(pool: PoolId, slots: number, now: number): readonly EscrowEffect[] {
     return this.#step(now, (ctx) => {
       const entry = ctx.state.pools[pool];
       if (entry !== undefined) {
--- a/packages/coordination/src/escrow/escrow_test.ts
+++ b/packages/coordination/src/escrow/escrow_test.ts
@@ -66,7 +66,7 @@
   want: [
     4,
     fc.tuple(node, fc.constantFrom(0, 3, 6)).map(([n, slots]) => (world) =>
-      world.act(n, (core, now) => core.want(POOL, slots, now))
+      world.act(n, (core, now) => core.setWanted(POOL, slots, now))
     ),
   ],
   deliver: [
@@ -123,11 +123,11 @@
 test("a VM that lacks slots borrows from others, and returns the loans", () => {
   const world = settledWorld();
   const before = world.held(0);
-  world.act(0, (core, now) => core.want(POOL, before + 3, now));
+  world.act(0, (core, now) => core.setWanted(POOL, before + 3, now));
   world.run(500);
   expect(world.held(0)).toBeGreaterThanOrEqual(before + 3);
   expect(sum(heldByAll(world))).toBe(8);
-  world.act(0, (core, now) => core.want(POOL, 0, now));
+  world.act(0, (core, now) => core.setWanted(POOL, 0, now));
   world.run(500);
   expect(world.held(0)).toBe(before);
   expect(sum(heldByAll(world))).toBe(8);
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -98,7 +98,7 @@
   }
 
   /** Merges the platform's VM list, which may or may not include this VM. */
-  listed(
+  mergeVmList(
     list: readonly ListedMember[],
     now: number,
   ): readonly MembershipEffect[] {
--- a/packages/coordination/src/membership/membership_test.ts
+++ b/packages/coordination/src/membership/membership_test.ts
@@ -47,7 +47,7 @@
       onEffect: (at, effect) => this.#record(at, effect as MembershipEffect),
     });
     this.vms(size).forEach((vm) => this.start(vm));
-    this.cores.forEach((core) => core.listed(this.list(), 0));
+    this.cores.forEach((core) => core.mergeVmList(this.list(), 0));
   }
 
   vms(size: number): readonly string[] {
@@ -251,7 +251,7 @@
   fleet.net.run(10_000);
   fleet.start("e3");
   const core = fleet.cores.get("e3")!;
-  core.listed(fleet.list(), fleet.net.now);
+  core.mergeVmList(fleet.list(), fleet.net.now);
   fleet.net.run(10_000);
   const self = core.member(id<VmId>("e3"))!;
   for (const other of fleet.cores.values()) {
@@ -269,13 +269,13 @@
     entry.vm === "e3" ? { ...entry, state: "leaving" as const } : entry
   );
   const reader = fleet.cores.get("e0")!;
-  fleet.net.apply("e0", reader.listed(stale, fleet.net.now));
+  fleet.net.apply("e0", reader.mergeVmList(stale, fleet.net.now));
   fleet.net.run(2_000);
   expect(fleet.statesOf("e3")).toEqual(new Set(["leaving"]));
   fleet.start("e3");
-  fleet.cores.get("e3")!.listed(fleet.list(), fleet.net.now);
+  fleet.cores.get("e3")!.mergeVmList(fleet.list(), fleet.net.now);
   fleet.net.run(10_000);
-  fleet.net.apply("e0", reader.listed(stale, fleet.net.now));
+  fleet.net.apply("e0", reader.mergeVmList(stale, fleet.net.now));
   fleet.net.run(2_000);
   expect(fleet.statesOf("e3")).toEqual(new Set(["joined"]));
 });
@@ -304,7 +304,7 @@
             break;
           case "restart":
             fleet.start(vm);
-            fleet.cores.get(vm)!.listed(fleet.list(), fleet.net.now);
+            fleet.cores.get(vm)!.mergeVmList(fleet.list(), fleet.net.now);
             break;
           case "pause":
             fleet.net.pause(vm);
@@ -322,7 +322,9 @@
       fleet.isCut = () => false;
       fleet.lossShare = 0;
       const alive = [...fleet.cores.keys()];
-      fleet.cores.forEach((core) => core.listed(fleet.list(), fleet.net.now));
+      fleet.cores.forEach((core) =>
+        core.mergeVmList(fleet.list(), fleet.net.now)
+      );
       fleet.net.run(90_000);
       for (const vm of alive) {
         expect(fleet.superseded.includes(vm) || !fleet.statesOf(vm).has("dead"))
--- a/packages/daemon/src/configuration_task.ts
+++ b/packages/daemon/src/configuration_task.ts
@@ -13,20 +13,20 @@
   type DisseminationMessage,
   type FollowerEffect,
   type InForce,
-  type Ranked,
+  type RankedMember,
 } from "@poplarthread/coordination";
 import type { Configuration } from "@poplarthread/config";
 import type { VmId, ZoneId } from "@poplarthread/ids";
 import { configurationOf, type InForceJson } from "./in_force_value.ts";
 import type { Log } from "./log.ts";
-import type { Known, PeerId } from "./peers/messages.ts";
+import type { KnownState, PeerId } from "./peers/messages.ts";
 import { Task } from "./task.ts";
 
 /** Messages of the task. */
 export type ConfigurationMessage =
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: DisseminationMessage }
-  | { readonly kind: "members"; readonly members: readonly Ranked[] }
+  | { readonly kind: "members"; readonly members: readonly RankedMember[] }
   /** A heartbeat carried a higher revision. */
   | { readonly kind: "ahead"; readonly vm: VmId; readonly revision: number }
   /** This VM accepted a change itself: polls the table at once. */
@@ -38,7 +38,7 @@
   readonly store: ConfigurationStore<InForceJson>;
   readonly send: (to: VmId, message: DisseminationMessage) => void;
   /** Queries some peers for the configuration in force; yields the responses received. */
-  readonly queryPeers: () => Promise<readonly Known[]>;
+  readonly queryPeers: () => Promise<readonly KnownState[]>;
   readonly onAdopted: (configuration: Configuration) => void;
   readonly onReader: (reader: boolean) => void;
   readonly log: Log;
@@ -76,7 +76,7 @@
   }
 
   /** The configuration that this VM sends to a peer that queries it. */
-  get known(): Pick<Known, "inForce" | "ageMs"> {
+  get known(): Pick<KnownState, "inForce" | "ageMs"> {
     const { inForce, ageMs } = this.#follower;
     return {
       ...(inForce === undefined ? {} : { inForce }),
--- a/packages/daemon/src/crash_watch.ts
+++ b/packages/daemon/src/crash_watch.ts
@@ -17,7 +17,7 @@
 import type { TargetId } from "@poplarthread/ids";
 import type { HeldBackStatus } from "@poplarthread/operator-api";
 import type { Attempt, AttemptEnd } from "./http/attempt.ts";
-import type { AttemptWatch, Exchange } from "./http/exchange.ts";
+import type { AttemptObserver, Exchange } from "./http/exchange.ts";
 import { Task } from "./task.ts";
 
 /** Messages of the task. */
@@ -46,7 +46,7 @@
 
 /** Owns the table of held-back requests. */
 export class CrashWatch extends Task<CrashWatchMessage>
-  implements AttemptWatch {
+  implements AttemptObserver {
   readonly #options: CrashWatchOptions;
   readonly #heldBack = new HeldBack();
   readonly #suspicions = new Map<TargetId, Suspicion>();
@@ -192,7 +192,7 @@
   if (head.key !== undefined) {
     hash.update(`key ${head.key}`);
   } else {
-    const body = exchange.wholeBody;
+    const body = exchange.bufferedBody;
     if (body === undefined) {
       return undefined;
     }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -44,7 +44,7 @@
 import { OperatorTokens } from "./operator/mod.ts";
 import { createProbes, OperatorTask } from "./operator_task.ts";
 import { Outages } from "./outages.ts";
-import type { PeerId, PeerNotice } from "./peers/messages.ts";
+import type { PeerId, PeerNotification } from "./peers/messages.ts";
 import { PeerNetwork } from "./peers/peer_network.ts";
 import { PeerQueries } from "./peer_queries.ts";
 import type { PlanInputs } from "./planning.ts";
@@ -203,9 +203,9 @@
       host: listen.peer.host,
       port: listen.peer.port,
       handler: {
-        notice: (from, notice) => this.#onPeerNotice(from, notice),
+        handleNotification: (from, notice) => this.#onPeerNotice(from, notice),
         claim: (_from, { question, waitMs }) =>
-          this.#claims.answerPeer(question, waitMs),
+          this.#claims.handleHolderQuery(question, waitMs),
         known: () => ({
           ...this.#configuration.known,
           ...this.#plan.known,
@@ -278,7 +278,7 @@
       log: this.#log,
     });
     this.#sweep = new ClaimSweepTask(this.#platform, {
-      isMine: () => this.#plan.planning,
+      isSweeper: () => this.#plan.planning,
     });
     this.#operator = this.#operatorTask(secrets);
     this.#root = this.#supervise();
@@ -313,7 +313,7 @@
       closeConnectionsAfterResponse: () =>
         this.#callers.send({ kind: "end-kept" }),
       stopAccepting: () => this.#callers.send({ kind: "drain" }),
-      waitForRequests: () => this.#callers.empty(),
+      waitForRequests: () => this.#callers.whenIdle(),
       pendingOutcomes: () => this.#claims.pending,
       release: async () => {
         this.#loans.send({ kind: "return-all" });
@@ -411,7 +411,7 @@
       wheel: this.#wheel,
       targets: this.#pools,
       claims: new TableClaims(this.#claims),
-      watch: this.#crashes,
+      attemptObserver: this.#crashes,
       steer: (event, exchange) => {
         if (event.kind === "arrive") {
           this.#demand.requestStarted(event.service, performance.now());
@@ -683,7 +683,7 @@
     this.#plan.send({ kind: "members", members });
   }
 
-  #onPeerNotice(from: PeerId, notice: PeerNotice): void {
+  #onPeerNotice(from: PeerId, notice: PeerNotification): void {
     switch (notice.method) {
       case "membership": {
         const message = notice.params;
@@ -712,7 +712,7 @@
     }
   }
 
-  #sendToPeer(to: VmId, notice: PeerNotice): void {
+  #sendToPeer(to: VmId, notice: PeerNotification): void {
     const address = this.#fleet.peerAddress(to);
     if (address !== undefined) {
       this.#peers.send({ kind: "send", to, address, notice });
--- a/packages/daemon/src/facts.ts
+++ b/packages/daemon/src/facts.ts
@@ -6,7 +6,7 @@
  */
 
 import type { Fact, HeldBackMessage } from "@poplarthread/coordination";
-import type { PeerBelief } from "@poplarthread/decisions";
+import type { PeerHealth } from "@poplarthread/decisions";
 import type { TargetId, VmId } from "@poplarthread/ids";
 
 /** Lifetimes of facts; targets are polled each second, so that facts are renewed in time. */
@@ -20,7 +20,7 @@
   | { readonly kind: "target-leaving"; readonly target: TargetId }
   /** All leaving notices of the target have expired. */
   | { readonly kind: "target-staying"; readonly target: TargetId }
-  | PeerBelief
+  | PeerHealth
   | { readonly kind: "held-back"; readonly message: HeldBackMessage };
 
 /** Options of {@link Facts}. */
--- a/packages/daemon/src/http/caller_listener.ts
+++ b/packages/daemon/src/http/caller_listener.ts
@@ -105,7 +105,7 @@
   }
 
   /** Resolves when every request has its final response. */
-  empty(): Promise<void> {
+  whenIdle(): Promise<void> {
     return new Promise((resolve) => {
       if (this.#openRequests === 0) {
         resolve();
@@ -236,7 +236,7 @@
       return;
     }
     this.#options.metrics.lookups += 1;
-    res.writeHead(200, page.lines as string[]);
+    res.writeHead(200, page.headers as string[]);
     res.end(page.body, "latin1");
   }
 
--- a/packages/daemon/src/http/caller_path_test.ts
+++ b/packages/daemon/src/http/caller_path_test.ts
@@ -202,7 +202,7 @@
   await expect(send("/orders", { method: "POST" })).rejects.toThrow();
   setTimeout(() => release(), 20);
   expect((await inFlight).body).toBe("done");
-  await listener.empty();
+  await listener.whenIdle();
 });
 
 test("arbitrary input from callers does not stop the listener", async () => {
--- a/packages/daemon/src/http/exchange.ts
+++ b/packages/daemon/src/http/exchange.ts
@@ -51,7 +51,7 @@
   readonly wheel: DeadlineWheel;
   readonly targets: TargetDispatchers;
   readonly claims: KeyedClaims;
-  readonly watch: AttemptWatch;
+  readonly attemptObserver: AttemptObserver;
   steer(event: SteeringEvent, exchange: Exchange): void;
   /** Called once for each exchange, when its caller has its final response. */
   ended(exchange: Exchange, end: ExchangeEnd): void;
@@ -60,7 +60,7 @@
 }
 
 /** Detects from attempts which requests crash targets. */
-export interface AttemptWatch {
+export interface AttemptObserver {
   /** How long the request is held back, in milliseconds; 0 if it may run. */
   heldBackFor(exchange: Exchange): number;
   attemptEnded(exchange: Exchange, attempt: Attempt, end: AttemptEnd): void;
@@ -160,7 +160,7 @@
   }
 
   /** The complete body; null without one, undefined if it is streamed. */
-  get wholeBody(): Buffer | null | undefined {
+  get bufferedBody(): Buffer | null | undefined {
     return this.#body === undefined ? null : this.#body.buffered;
   }
 
@@ -193,7 +193,7 @@
     if (this.#phase !== "reading") {
       return;
     }
-    const heldBackMs = this.#services.watch.heldBackFor(this);
+    const heldBackMs = this.#services.attemptObserver.heldBackFor(this);
     if (heldBackMs > 0) {
       this.refuse("held-back", {
         message: "this request coincided with the crash of several targets",
@@ -276,7 +276,7 @@
   }
 
   /** Carries out a decision: refuses the request, with no more attempts. */
-  steeringRefuses(reason: RefuseReason, retryAfterMs: number): void {
+  refuseBySteering(reason: RefuseReason, retryAfterMs: number): void {
     if (this.#phase === "answering") {
       // The decisions were restarted and do not know of the response in progress.
       return;
@@ -404,7 +404,7 @@
   }
 
   attemptEnded(attempt: Attempt, end: AttemptEnd): void {
-    this.#services.watch.attemptEnded(this, attempt, end);
+    this.#services.attemptObserver.attemptEnded(this, attempt, end);
     this.#brokenAttempts += end === "failed-after-sent" ? 1 : 0;
     if (attempt.sent && (end === "refused-not-run" || end === "leaving")) {
       this.#mayHaveRun = this.#attempts.some((one) =>
@@ -445,7 +445,7 @@
 
   #startClaim(): void {
     this.#phase = "claiming";
-    const body = this.wholeBody;
+    const body = this.bufferedBody;
     this.#services.claims.claim({
       scope: keyScope(this.head.caller),
       key: this.head.key!,
--- a/packages/daemon/src/http/keyed_claims.ts
+++ b/packages/daemon/src/http/keyed_claims.ts
@@ -12,7 +12,7 @@
   ClaimRefusal,
   RequestClaims,
   RunOutcome,
-  StoredAnswer,
+  StoredResponse,
 } from "@poplarthread/coordination";
 import type { CallerId, IdempotencyKey } from "@poplarthread/ids";
 import { REPLAYED_HEADER } from "./names.ts";
@@ -108,7 +108,7 @@
   }
 }
 
-function toReplay(answer: StoredAnswer): ClaimResult {
+function toReplay(answer: StoredResponse): ClaimResult {
   const body = Buffer.from(answer.bodyBase64, "base64");
   const headers = answer.headers.filter(([name]) => name !== "content-length");
   const contentLength = ["content-length", String(body.length)];
--- a/packages/daemon/src/lookups.ts
+++ b/packages/daemon/src/lookups.ts
@@ -95,7 +95,7 @@
 
 /** A serialized response, built once for all callers of a zone. */
 export interface LookupPage {
-  readonly lines: readonly string[];
+  readonly headers: readonly string[];
   /** Latin-1, one byte per character, so that it is sent in one write with its headers. */
   readonly body: string;
 }
@@ -142,7 +142,7 @@
   // Rounded down so that no cache keeps the response beyond its lifetime.
   const seconds = Math.floor(response.lifetimeMs / 1_000);
   return {
-    lines: [
+    headers: [
       "content-type",
       "application/json",
       "content-length",
--- a/packages/daemon/src/membership_task.ts
+++ b/packages/daemon/src/membership_task.ts
@@ -125,7 +125,7 @@
       address: one.peer,
       state: one.state,
     }));
-    this.#perform(this.#membership!.listed(listedMembers, now));
+    this.#perform(this.#membership!.mergeVmList(listedMembers, now));
   }
 
   #perform(effects: readonly MembershipEffect[]): void {
--- a/packages/daemon/src/mod.ts
+++ b/packages/daemon/src/mod.ts
@@ -8,6 +8,6 @@
 export type {
   OperatorBackend,
   OperatorChange,
-  ProbeAnswer,
   ProbeHandlers,
+  ProbeResponse,
 } from "./operator_backend.ts";
--- a/packages/daemon/src/operator/mod.ts
+++ b/packages/daemon/src/operator/mod.ts
@@ -17,8 +17,8 @@
 import type { ErrorResponse } from "@poplarthread/operator-api";
 import type {
   OperatorBackend,
-  ProbeAnswer,
   ProbeHandlers,
+  ProbeResponse,
 } from "../operator_backend.ts";
 import { readBody } from "./body.ts";
 import { HttpError } from "./http_error.ts";
@@ -96,7 +96,7 @@
 async function probeResponse(
   probes: ProbeHandlers,
   req: IncomingMessage,
-): Promise<ProbeAnswer | undefined> {
+): Promise<ProbeResponse | undefined> {
   if (req.method !== "GET") {
     return undefined;
   }
--- a/packages/daemon/src/operator_backend.ts
+++ b/packages/daemon/src/operator_backend.ts
@@ -47,7 +47,7 @@
 }
 
 /** Response of a probe. */
-export interface ProbeAnswer {
+export interface ProbeResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
@@ -56,9 +56,9 @@
 /** Handlers of the probes that the operators' listener serves without a token. */
 export interface ProbeHandlers {
   /** `/healthz`: 200 while the supervisor tree runs. */
-  health(): ProbeAnswer;
+  health(): ProbeResponse;
   /** `/readyz`: 200 while a configuration is in force, the fleet and a plan are known and the VM is not leaving. */
-  ready(): ProbeAnswer;
+  ready(): ProbeResponse;
   /** `/metrics`: Prometheus text. */
-  metrics(): Promise<ProbeAnswer>;
+  metrics(): Promise<ProbeResponse>;
 }
--- a/packages/daemon/src/operator_task.ts
+++ b/packages/daemon/src/operator_task.ts
@@ -12,8 +12,8 @@
 } from "./operator/mod.ts";
 import type {
   OperatorBackend,
-  ProbeAnswer,
   ProbeHandlers,
+  ProbeResponse,
 } from "./operator_backend.ts";
 import type { Metrics } from "./metrics.ts";
 import { type Message, Task } from "./task.ts";
@@ -83,6 +83,6 @@
   };
 }
 
-function text(status: number, body: string): ProbeAnswer {
+function text(status: number, body: string): ProbeResponse {
   return { status, contentType: "text/plain; charset=utf-8", body };
 }
--- a/packages/daemon/src/peer_queries.ts
+++ b/packages/daemon/src/peer_queries.ts
@@ -5,10 +5,10 @@
  * @module
  */
 
-import type { HolderAnswer, HolderQuestion } from "@poplarthread/coordination";
+import type { HolderQuery, HolderResponse } from "@poplarthread/coordination";
 import type { RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import type { FleetTask, FleetVm } from "./fleet.ts";
-import type { Known, StoredPlan } from "./peers/messages.ts";
+import type { KnownState, StoredPlan } from "./peers/messages.ts";
 import type { PeerNetwork } from "./peers/peer_network.ts";
 
 /** Peers that a VM without a configuration queries; one of them has the newest, or receives it soon. */
@@ -37,9 +37,9 @@
 
   /** Queries the instance that holds a claim. */
   async queryHolder(
-    question: HolderQuestion,
+    question: HolderQuery,
     waitMs: number,
-  ): Promise<HolderAnswer> {
+  ): Promise<HolderResponse> {
     const { fleet, peers } = this.#options;
     // An instance's name begins with its VM; a later instance there responds that the
     // earlier one has ended.
@@ -47,11 +47,11 @@
     const address = fleet.peerAddress(vm);
     return address === undefined
       ? { kind: "unreachable" }
-      : await peers.askHolder({ vm, address }, { question, waitMs });
+      : await peers.queryHolder({ vm, address }, { question, waitMs });
   }
 
   /** Queries a few peers, nearest first, so that VMs that start together do not overload all peers. */
-  async queryNearest(): Promise<readonly Known[]> {
+  async queryNearest(): Promise<readonly KnownState[]> {
     const { self } = this.#options;
     const proximity = ({ zone, region }: FleetVm) =>
       Number(zone === self.zone) + Number(region === self.region);
@@ -64,20 +64,20 @@
   }
 
   /** Queries every other VM that the platform lists. */
-  async queryListed(): Promise<readonly (Known | undefined)[]> {
+  async queryListed(): Promise<readonly (KnownState | undefined)[]> {
     return await this.queryKnown(this.#others().map(({ id }) => id));
   }
 
   /** Queries the given VMs and passes the plans of their responses to `onPlan`. */
   async queryKnown(
     vms: readonly VmId[],
-  ): Promise<readonly (Known | undefined)[]> {
+  ): Promise<readonly (KnownState | undefined)[]> {
     const { fleet, peers, onPlan } = this.#options;
     const responses = await Promise.all(vms.map((vm) => {
       const address = fleet.peerAddress(vm);
       return address === undefined
         ? undefined
-        : peers.askKnown({ vm, address });
+        : peers.queryKnownState({ vm, address });
     }));
     for (const response of responses) {
       if (response?.plan !== undefined) {
--- a/packages/daemon/src/peers/messages.ts
+++ b/packages/daemon/src/peers/messages.ts
@@ -7,8 +7,8 @@
 
 import type {
   DisseminationMessage,
-  HolderAnswer,
-  HolderQuestion,
+  HolderQuery,
+  HolderResponse,
   InForce,
   MembershipMessage,
   Sender,
@@ -76,7 +76,7 @@
 }
 
 /** A JSON-RPC notification: a message without a response. */
-export type PeerNotice =
+export type PeerNotification =
   | { readonly method: "membership"; readonly params: MembershipMessage }
   | { readonly method: "configuration"; readonly params: DisseminationMessage }
   | { readonly method: "plan"; readonly params: DisseminationMessage }
@@ -85,7 +85,7 @@
   | { readonly method: "planner-report"; readonly params: PlannerReport };
 
 /** Methods of all notifications. */
-export const NOTIFICATION_METHODS: readonly PeerNotice["method"][] = [
+export const NOTIFICATION_METHODS: readonly PeerNotification["method"][] = [
   "membership",
   "configuration",
   "plan",
@@ -95,7 +95,7 @@
 ];
 
 /** State that a newly started VM requests from its peers while the table is unreachable. */
-export interface Known {
+export interface KnownState {
   /** Absent if the peer knows no configuration either. */
   readonly inForce?: InForce<InForceJson>;
   /** Time since the peer last confirmed that this configuration is the latest. */
@@ -118,13 +118,13 @@
 
 /** A request to the holder of a claim. */
 export interface ClaimCall {
-  readonly question: HolderQuestion;
+  readonly question: HolderQuery;
   readonly waitMs: number;
 }
 
 /** Handles messages of peers. */
 export interface PeerHandler {
-  notice(from: PeerId, notification: PeerNotice): void;
-  claim(from: PeerId, call: ClaimCall): Promise<HolderAnswer>;
-  known(): Known;
+  handleNotification(from: PeerId, notification: PeerNotification): void;
+  claim(from: PeerId, call: ClaimCall): Promise<HolderResponse>;
+  known(): KnownState;
 }
--- a/packages/daemon/src/peers/peer_network.ts
+++ b/packages/daemon/src/peers/peer_network.ts
@@ -7,7 +7,7 @@
  */
 
 import { connect, createServer, type Server, type Socket } from "node:net";
-import type { HolderAnswer } from "@poplarthread/coordination";
+import type { HolderResponse } from "@poplarthread/coordination";
 import type { VmId } from "@poplarthread/ids";
 import { messageOf, PeerProtocolError } from "../errors.ts";
 import type { Log } from "../log.ts";
@@ -25,11 +25,11 @@
 } from "./handshake.ts";
 import {
   type ClaimCall,
-  type Known,
+  type KnownState,
   NOTIFICATION_METHODS,
   type PeerHandler,
   type PeerId,
-  type PeerNotice,
+  type PeerNotification,
 } from "./messages.ts";
 
 /** A peer and the address that it listens on, `host:port`. */
@@ -56,7 +56,7 @@
     readonly to: VmId;
     /** `host:port`. */
     readonly address: string;
-    readonly notice: PeerNotice;
+    readonly notice: PeerNotification;
   }
   /** Closes the link to a VM that has left or failed. */
   | { readonly kind: "drop"; readonly vm: VmId }
@@ -81,7 +81,7 @@
   /** After a failure, the time before which the link is not reopened. */
   retryAt: number;
   usedAt: number;
-  queued: PeerNotice[];
+  queued: PeerNotification[];
   /** Resolves when the handshake completes; rejects if it fails. */
   opening: Promise<Channel> | undefined;
 }
@@ -105,26 +105,29 @@
   }
 
   /** Queries the holder of a claim; never rejects. */
-  async askHolder(peer: PeerAddress, call: ClaimCall): Promise<HolderAnswer> {
+  async queryHolder(
+    peer: PeerAddress,
+    call: ClaimCall,
+  ): Promise<HolderResponse> {
     const timeoutMs = call.waitMs + HANDSHAKE_TIMEOUT_MS;
     const response = await this.#call(peer, {
       method: "claim",
       call,
       timeoutMs,
     });
-    return (response ?? { kind: "unreachable" }) as HolderAnswer;
+    return (response ?? { kind: "unreachable" }) as HolderResponse;
   }
 
   /** Queries which configuration a peer knows to be in force; undefined without a response. */
-  async askKnown(
+  async queryKnownState(
     peer: PeerAddress,
-  ): Promise<Known | undefined> {
+  ): Promise<KnownState | undefined> {
     const response = await this.#call(peer, {
       method: "known",
       call: {},
       timeoutMs: HANDSHAKE_TIMEOUT_MS,
     });
-    return response as Known | undefined;
+    return response as KnownState | undefined;
   }
 
   protected override async open(): Promise<void> {
@@ -182,7 +185,7 @@
     }
   }
 
-  #send(vm: VmId, address: string, notification: PeerNotice): void {
+  #send(vm: VmId, address: string, notification: PeerNotification): void {
     const link = this.#link(vm, address);
     const now = performance.now();
     link.usedAt = now;
@@ -200,7 +203,7 @@
     this.#open(vm, address).catch(() => undefined);
   }
 
-  #notify(channel: Channel, notification: PeerNotice): void {
+  #notify(channel: Channel, notification: PeerNotification): void {
     if (channel.congested) {
       return;
     }
@@ -384,7 +387,10 @@
       channel.rpc.addMethod(method, (params: unknown) => {
         this.#count("received", method);
         try {
-          handler.notice(peer, { method, params } as PeerNotice);
+          handler.handleNotification(
+            peer,
+            { method, params } as PeerNotification,
+          );
         } catch (err) {
           // A peer of another build may send a message that this one cannot read.
           // That must not stop the task, which serves all other peers.
--- a/packages/daemon/src/peers/peer_network_test.ts
+++ b/packages/daemon/src/peers/peer_network_test.ts
@@ -9,7 +9,7 @@
 import { SILENT_LOG } from "../silent_log.ts";
 import { Metrics } from "../metrics.ts";
 import { computeProof, newHello } from "./handshake.ts";
-import type { PeerId, PeerNotice } from "./messages.ts";
+import type { PeerId, PeerNotification } from "./messages.ts";
 import { PeerNetwork } from "./peer_network.ts";
 
 const parent = {
@@ -37,7 +37,8 @@
     host: "127.0.0.1",
     port: 0,
     handler: {
-      notice: (from, { method }) => received.push(`${method} of ${from.vm}`),
+      handleNotification: (from, { method }) =>
+        received.push(`${method} of ${from.vm}`),
       claim: () => Promise.resolve({ kind: "free" }),
       known: () => ({ ageMs: 0, lenders: [] }),
     },
@@ -56,7 +57,7 @@
 }
 
 function sendNotification(from: TestPeer, to: TestPeer): void {
-  const notice: PeerNotice = {
+  const notice: PeerNotification = {
     method: "slots",
     params: { kind: "give-back", loan: "l" },
   };
@@ -97,7 +98,7 @@
   await expect.poll(() => b.received).toEqual(["slots of a"]);
   const peer = { vm: "b" as VmId, address: b.address };
   const call = { question: {} as never, waitMs: 1_000 };
-  expect(await a.network.askHolder(peer, call)).toEqual({ kind: "free" });
+  expect(await a.network.queryHolder(peer, call)).toEqual({ kind: "free" });
   a.network.send({ kind: "drop", vm: "b" as VmId });
   sendNotification(a, b);
   await expect.poll(() => b.received).toHaveLength(2);
--- a/packages/daemon/src/plan_task.ts
+++ b/packages/daemon/src/plan_task.ts
@@ -13,7 +13,7 @@
   isTermValid,
   Lease,
   newTerm,
-  type Ranked,
+  type RankedMember,
   type Sender,
   type Table,
   TableError,
@@ -21,11 +21,11 @@
   type TermMessage,
   type TermState,
 } from "@poplarthread/coordination";
-import { type Plan, TERM_MS } from "@poplarthread/decisions";
+import { MAX_PLAN_TERM_MS, type Plan } from "@poplarthread/decisions";
 import type { RegionId, VmId, ZoneId } from "@poplarthread/ids";
 import type { Log } from "./log.ts";
 import type {
-  Known,
+  KnownState,
   PeerId,
   PlannerReport,
   StoredPlan,
@@ -38,7 +38,7 @@
   | { readonly kind: "tick" }
   | { readonly kind: "peer"; readonly message: DisseminationMessage }
   | { readonly kind: "term"; readonly message: TermMessage }
-  | { readonly kind: "members"; readonly members: readonly Ranked[] }
+  | { readonly kind: "members"; readonly members: readonly RankedMember[] }
   /** The plan that a peer follows, received in response to a query. */
   | { readonly kind: "known"; readonly stored: StoredPlan }
   | {
@@ -61,7 +61,7 @@
   /** Requests the plan that a VM follows; the plan arrives as a `known` message. */
   readonly fetchPlanFrom: (vm: VmId) => void;
   /** Queries every other VM that the platform lists; undefined for each that does not respond. */
-  readonly queryAll: () => Promise<readonly (Known | undefined)[]>;
+  readonly queryAll: () => Promise<readonly (KnownState | undefined)[]>;
   /** Called with a plan that may be used for `validMs`, or not at all if that is 0. */
   readonly onPlan: (plan: Plan, validMs: number) => void;
   readonly log: Log;
@@ -74,10 +74,10 @@
 /** Interval at which VMs report and the planner plans; five reports fit into the time for which reported demand counts. */
 const STEP_INTERVAL_MS = 2_000;
 /** A VM whose term ends sooner than this reads the table itself. */
-const TERM_CHECK_THRESHOLD_MS = TERM_MS / 2;
+const TERM_CHECK_THRESHOLD_MS = MAX_PLAN_TERM_MS / 2;
 /** Retry interval of an unanswered term request; above two round trips of 110 ms. */
 const TERM_RETRY_MS = 300;
-const TERM_TIMING = { termMs: TERM_MS, retryMs: TERM_RETRY_MS };
+const TERM_TIMING = { termMs: MAX_PLAN_TERM_MS, retryMs: TERM_RETRY_MS };
 /** Outlasts two lost renewals; the crash of a planner delays planning by little more than this. */
 const LEASE_DURATION_MS = 6_000;
 /**
@@ -102,7 +102,7 @@
   #openedAt = 0;
   #lastStepAt = -Infinity;
   #isStepping = false;
-  #members: readonly Ranked[] = [];
+  #members: readonly RankedMember[] = [];
 
   constructor(options: PlanTaskOptions) {
     super("plan");
@@ -117,7 +117,7 @@
   }
 
   /** The plan that this VM sends to a peer that queries it. */
-  get known(): Pick<Known, "plan"> {
+  get known(): Pick<KnownState, "plan"> {
     return this.#stored === undefined ? {} : { plan: this.#stored };
   }
 
--- a/packages/daemon/src/planning.ts
+++ b/packages/daemon/src/planning.ts
@@ -8,13 +8,13 @@
 import type { Sender } from "@poplarthread/coordination";
 import {
   type Confirmation,
+  findStoppedVms,
   type MeasuredDemand,
   nextPlan,
   type Policy,
-  type Silence,
   type TargetEntry,
+  type UnresponsiveVm,
   type VmEntry,
-  watchSilence,
 } from "@poplarthread/decisions";
 import type { InstanceId, VmId } from "@poplarthread/ids";
 import type { PlannerReport, StoredPlan } from "./peers/messages.ts";
@@ -62,7 +62,7 @@
   #planSequence = 0;
   /** Live VMs, all of which must report that they hold no loan of an ended instance. */
   #liveVms: readonly VmId[] = [];
-  #silences: readonly Silence[] = [];
+  #silences: readonly UnresponsiveVm[] = [];
 
   /** Stores the report of a VM. */
   addReport(from: Sender, report: PlannerReport, now: number): void {
@@ -180,7 +180,7 @@
     }
     const { plan, holders } = previous;
     this.#updateUnlisted(inputs, holders, ctx.now);
-    const { silences, stopped } = watchSilence(this.#silences, {
+    const { unresponsive: silences, stopped } = findStoppedVms(this.#silences, {
       holdings: [...plan.allotments, ...plan.links],
       confirmed: new Map(
         ctx.confirmations.map(({ vm, sequence }) => [vm, sequence]),
--- a/packages/daemon/src/slot_loans.ts
+++ b/packages/daemon/src/slot_loans.ts
@@ -11,9 +11,9 @@
  */
 
 import type {
-  Ask,
-  GiveBack,
   Lend,
+  ReturnSlots,
+  SlotRequest,
   SteeringEvent,
 } from "@poplarthread/decisions";
 import type { InstanceId, TargetId, VmId } from "@poplarthread/ids";
@@ -22,7 +22,10 @@
 
 /** Messages of the task. */
 export type SlotLoansMessage =
-  | { readonly kind: "effect"; readonly effect: Ask | Lend | GiveBack }
+  | {
+    readonly kind: "effect";
+    readonly effect: SlotRequest | Lend | ReturnSlots;
+  }
   | {
     readonly kind: "peer";
     readonly from: PeerId;
@@ -117,7 +120,7 @@
 
   protected override close(): void {}
 
-  #perform(effect: Ask | Lend | GiveBack, now: number): void {
+  #perform(effect: SlotRequest | Lend | ReturnSlots, now: number): void {
     switch (effect.kind) {
       case "ask":
         this.#ask(effect, now);
@@ -131,7 +134,7 @@
     }
   }
 
-  #ask(effect: Ask, now: number): void {
+  #ask(effect: SlotRequest, now: number): void {
     const { to, service, region, slots, rank, rankWaitMs, waitMs } = effect;
     this.#askCount += 1;
     const question = `${this.#options.instance}/${this.#askCount}`;
@@ -175,7 +178,7 @@
   }
 
   /** Returns slots borrowed from that VM for that target, oldest loan first. */
-  #returnSlots(effect: GiveBack): void {
+  #returnSlots(effect: ReturnSlots): void {
     let slots = effect.slots;
     for (const [loan, borrowed] of this.#borrowed) {
       if (slots <= 0) {
--- a/packages/daemon/src/steering_task.ts
+++ b/packages/daemon/src/steering_task.ts
@@ -61,7 +61,7 @@
   steer(event: SteeringEvent, exchange: Exchange): void {
     if (event.kind === "arrive") {
       if (this.#steering === undefined || !this.running) {
-        exchange.steeringRefuses("no-target", RESTART_RETRY_MS);
+        exchange.refuseBySteering("no-target", RESTART_RETRY_MS);
         return;
       }
       this.#exchanges.set(event.request, exchange);
@@ -76,7 +76,7 @@
 
   /** Sends a tick to steering if one is due. */
   tick(now: number): void {
-    const next = this.#steering?.nextTick;
+    const next = this.#steering?.nextTickAt;
     if (next !== undefined && next <= now) {
       this.send({ kind: "tick" });
     }
@@ -109,7 +109,7 @@
   protected override close(): void {
     this.#steering = undefined;
     for (const exchange of [...this.#exchanges.values()]) {
-      exchange.steeringRefuses("overload", RESTART_RETRY_MS);
+      exchange.refuseBySteering("overload", RESTART_RETRY_MS);
     }
     this.#exchanges.clear();
   }
@@ -137,7 +137,7 @@
         return;
       case "refuse":
         this.#exchanges.get(effect.request)
-          ?.steeringRefuses(effect.reason, effect.retryAfterMs);
+          ?.refuseBySteering(effect.reason, effect.retryAfterMs);
         return;
       default:
         this.#options.onPeerEffect(effect);
--- a/packages/daemon/src/testing.ts
+++ b/packages/daemon/src/testing.ts
@@ -194,7 +194,7 @@
       wheel: new DeadlineWheel(performance.now()),
       targets: pools,
       claims: options.claims ?? noClaims,
-      watch: crashes,
+      attemptObserver: crashes,
       steer: (event, exchange) => steering.steer(event, exchange),
       ended: (_, end) => {
         ends.push(end);
--- a/packages/decisions/src/effect.ts
+++ b/packages/decisions/src/effect.ts
@@ -65,7 +65,7 @@
 
 /** Request slots from a peer and report what waits here. The peer responds by
  * lending, now or later. */
-export interface Ask {
+export interface SlotRequest {
   readonly kind: "ask";
   readonly to: VmId;
   readonly service: ServiceId;
@@ -87,7 +87,7 @@
 }
 
 /** Return borrowed slots. This VM no longer uses them. */
-export interface GiveBack {
+export interface ReturnSlots {
   readonly kind: "give-back";
   readonly to: VmId;
   readonly target: TargetId;
@@ -114,8 +114,8 @@
   | Hedge
   | Cancel
   | Refuse
-  | Ask
+  | SlotRequest
   | Lend
-  | GiveBack
+  | ReturnSlots
   | PlanApplied
   | HealthChanged;
--- a/packages/decisions/src/event.ts
+++ b/packages/decisions/src/event.ts
@@ -110,7 +110,7 @@
 }
 
 /** Another VM's view of a target, from its own attempts. */
-export interface PeerBelief {
+export interface PeerHealth {
   readonly kind: "peer-belief";
   readonly from: VmId;
   readonly target: TargetId;
@@ -218,7 +218,7 @@
   | Ended
   | Gone
   | Report
-  | PeerBelief
+  | PeerHealth
   | TargetLeaving
   | Targets
   | Vms
--- a/packages/decisions/src/planner_test.ts
+++ b/packages/decisions/src/planner_test.ts
@@ -12,7 +12,7 @@
 import { planFaults } from "./plan_check.ts";
 import { nextPlan, type PlannerInput } from "./planner.ts";
 import type { Policy } from "./policy.ts";
-import { STOPPED_AFTER_MS, watchSilence } from "./silence.ts";
+import { findStoppedVms, STOPPED_AFTER_MS } from "./silence.ts";
 import { checkSwitch } from "./switch_check.ts";
 
 const regions = ["north", "south", "west"].map((name) => id<RegionId>(name));
@@ -99,7 +99,7 @@
     vms.slice(1).map(({ vm }) => [vm, plan.sequence]),
   );
   const gone = new Set<VmId>();
-  let silences: ReturnType<typeof watchSilence>["silences"] = [];
+  let silences: ReturnType<typeof findStoppedVms>["unresponsive"] = [];
   for (
     const [now, slots] of [
       [0, [4, 4]],
@@ -108,8 +108,13 @@
     ] as const
   ) {
     const holdings = plan.allotments;
-    const watched = watchSilence(silences, { holdings, confirmed, gone, now });
-    silences = watched.silences;
+    const watched = findStoppedVms(silences, {
+      holdings,
+      confirmed,
+      gone,
+      now,
+    });
+    silences = watched.unresponsive;
     const { stopped } = watched;
     plan = nextPlan(inputOf({ vms: vmsNow, previous: plan, stopped }));
     expect(others.map((vm) => slotsOf(plan, vm))).toEqual(slots);
@@ -128,14 +133,14 @@
   );
   const holdings = plan.allotments;
   const gone = new Set<VmId>();
-  const early = watchSilence([], { holdings, confirmed, gone, now: 0 });
-  const late = watchSilence(early.silences, {
+  const early = findStoppedVms([], { holdings, confirmed, gone, now: 0 });
+  const late = findStoppedVms(early.unresponsive, {
     ...{ holdings, confirmed, gone },
     now: 100 * STOPPED_AFTER_MS,
   });
   expect([...late.stopped]).toEqual([]);
   const listed = { holdings, confirmed, gone: new Set(cutOff), now: 0 };
-  expect([...watchSilence([], listed).stopped]).toEqual(cutOff);
+  expect([...findStoppedVms([], listed).stopped]).toEqual(cutOff);
 });
 
 // Plans are computed while VMs confirm late or never, join and leave, and
--- a/packages/decisions/src/silence.ts
+++ b/packages/decisions/src/silence.ts
@@ -23,7 +23,7 @@
 
 /** Longest term for which other VMs confirm a plan; the daemon's terms are no
  * longer. */
-export const TERM_MS = 15_000;
+export const MAX_PLAN_TERM_MS = 15_000;
 /** Longest deadline of a request, and so of its use of a lent slot. */
 const MAX_REQUEST_MS = 30_000;
 /** Allowance for clock drift of 1 %, and for a pause between reading the clock
@@ -31,10 +31,10 @@
 const MARGIN_MS = 1_000;
 /** Time from the moment when no VM confirms the old plan until the unresponsive
  * VM has certainly stopped. */
-export const STOPPED_AFTER_MS = TERM_MS + MAX_REQUEST_MS + MARGIN_MS;
+export const STOPPED_AFTER_MS = MAX_PLAN_TERM_MS + MAX_REQUEST_MS + MARGIN_MS;
 
 /** An unresponsive VM, and since when no other VM can have confirmed its plan. */
-export interface Silence {
+export interface UnresponsiveVm {
   readonly vm: VmId;
   /** Sequence of the lowering that it has not confirmed. */
   readonly loweredIn: number;
@@ -56,13 +56,13 @@
 
 /** Unresponsive VMs, and VMs that have certainly stopped. */
 export interface StoppedVmsResult {
-  readonly silences: readonly Silence[];
+  readonly unresponsive: readonly UnresponsiveVm[];
   readonly stopped: ReadonlySet<VmId>;
 }
 
 /** Updates the unresponsive VMs. A newly started planner passes an empty list. */
-export function watchSilence(
-  before: readonly Silence[],
+export function findStoppedVms(
+  before: readonly UnresponsiveVm[],
   input: StoppedVmsInput,
 ): StoppedVmsResult {
   const holders = new Set(input.holdings.map(({ vm }) => vm));
@@ -72,17 +72,20 @@
   const stopped = entries
     .filter(({ since }) => input.now >= since + STOPPED_AFTER_MS)
     .map(({ vm }) => vm);
-  return { silences: entries, stopped: new Set([...input.gone, ...stopped]) };
+  return {
+    unresponsive: entries,
+    stopped: new Set([...input.gone, ...stopped]),
+  };
 }
 
 function unresponsiveEntry(
   vm: VmId,
   ctx: {
-    before: readonly Silence[];
+    before: readonly UnresponsiveVm[];
     holders: ReadonlySet<VmId>;
     input: StoppedVmsInput;
   },
-): Silence | undefined {
+): UnresponsiveVm | undefined {
   const { before, holders, input } = ctx;
   const loweredIn = lastLowering(vm, input.holdings);
   if (loweredIn === undefined || hasConfirmed(vm, loweredIn, input)) {
--- a/packages/decisions/src/steering.ts
+++ b/packages/decisions/src/steering.ts
@@ -77,7 +77,7 @@
 
   /** Time at which the next `tick` is due, on the clock of `now`; undefined if
    * none is. A few milliseconds early or late do no harm. */
-  get nextTick(): number | undefined {
+  get nextTickAt(): number | undefined {
     const vm = this.#vm;
     let at = vm.giveUps.peek()?.giveUpAt ?? Number.POSITIVE_INFINITY;
     if (!vm.expired) at = Math.min(at, vm.planEndsAt);
--- a/packages/model/src/claims_model.ts
+++ b/packages/model/src/claims_model.ts
@@ -38,7 +38,7 @@
   readonly expiries: number;
 }
 
-type HolderAnswer = attemptCore.HolderAnswer;
+type HolderAnswer = attemptCore.HolderResponse;
 
 /** One of the times that the request is sent. */
 interface Sending {
@@ -184,7 +184,7 @@
     )!;
     return holder.isLost
       ? { kind: "dead" }
-      : core.answerForHolder(holder.attempt);
+      : core.holderResponseFor(holder.attempt);
   }
 
   function crash(state: ClaimsState, vm: number): ClaimsState {
--- a/packages/model/src/escrow_model.ts
+++ b/packages/model/src/escrow_model.ts
@@ -216,7 +216,7 @@
         return performStep(
           { ...state, wishes: state.wishes - 1 },
           event.vm,
-          (escrow, now) => escrow.want(POOL, event.slots, now),
+          (escrow, now) => escrow.setWanted(POOL, event.slots, now),
         );
       case "read-plan":
         return performStep(state, event.vm, (escrow, now) => [
--- a/packages/model/src/plan_term_model.ts
+++ b/packages/model/src/plan_term_model.ts
@@ -20,11 +20,11 @@
   TermState,
 } from "@poplarthread/coordination";
 import {
+  findStoppedVms,
   type Holding,
+  MAX_PLAN_TERM_MS,
   nextHoldings,
-  type Silence,
-  TERM_MS,
-  watchSilence,
+  type UnresponsiveVm,
 } from "@poplarthread/decisions";
 import type { Model } from "./explore.ts";
 
@@ -34,14 +34,14 @@
     typeof termCore,
     "advanceTerm" | "isTermValid" | "newTerm"
   >;
-  readonly silence: { readonly watchSilence: typeof watchSilence };
+  readonly silence: { readonly findStoppedVms: typeof findStoppedVms };
   readonly transition: { readonly nextHoldings: typeof nextHoldings };
 }
 
 /** The production cores. */
 export const PLAN_TERM_CORES: PlanTermCores = {
   term: termCore,
-  silence: { watchSilence },
+  silence: { findStoppedVms: findStoppedVms },
   transition: { nextHoldings },
 };
 
@@ -85,7 +85,7 @@
   readonly vms: Readonly<Record<Name, TermState>>;
   /** The newest plan that each VM has confirmed to the planner. */
   readonly confirmed: Readonly<Record<Name, number>>;
-  readonly silences: readonly Silence[];
+  readonly silences: readonly UnresponsiveVm[];
   /** Messages that may arrive, any number of times. */
   readonly mail: readonly Mail[];
   /** The read of the table by `x` that is in flight. */
@@ -112,7 +112,7 @@
 
 /** Duration of one step of time, longer than a term. */
 const STEP_MS = 16_000;
-const TIMES = { termMs: TERM_MS, retryMs: STEP_MS };
+const TIMES = { termMs: MAX_PLAN_TERM_MS, retryMs: STEP_MS };
 
 /** Builds the model. Its properties must hold, except for {@link WAITED_OUT}. */
 export function planTermModel(
@@ -143,12 +143,15 @@
     const confirmed = new Map(
       NAMES.map((name) => [vmOf(name), world.confirmed[name]]),
     );
-    const { silences, stopped } = cores.silence.watchSilence(world.silences, {
-      holdings: [...previous.rows, rowOf("z")],
-      confirmed,
-      gone: new Set(),
-      now: world.time * STEP_MS,
-    });
+    const { unresponsive: silences, stopped } = cores.silence.findStoppedVms(
+      world.silences,
+      {
+        holdings: [...previous.rows, rowOf("z")],
+        confirmed,
+        gone: new Set(),
+        now: world.time * STEP_MS,
+      },
+    );
     const rows = cores.transition.nextHoldings(
       previous.rows,
       new Map([[vmOf("p"), 1]]),
