--- a/packages/bench/src/fleet/emulated_vm.ts
+++ b/packages/bench/src/fleet/emulated_vm.ts
@@ -185,7 +185,7 @@
     address: `${placed.id}:${instance}`,
     zone: placed.zone,
     slots: placed.slots,
-    leaving: isLeaving,
+    isLeaving,
     coldMs,
     startedAt: instance,
   };
--- a/packages/cli/src/request_timeline.ts
+++ b/packages/cli/src/request_timeline.ts
@@ -16,14 +16,14 @@
 /** The log lines that concern a request. */
 export interface RequestTimeline {
   /** Lines with the request's id, ordered by time. */
-  readonly own: readonly LogLine[];
+  readonly requestLines: readonly LogLine[];
   /** State changes on the request's VMs shortly before and during it: of its targets and services, and of the VM as a whole. */
-  readonly beliefs: readonly LogLine[];
+  readonly stateChanges: readonly LogLine[];
   /** Number of lines that are not JSON log lines, such as the truncated end of a file. */
   readonly unreadable: number;
 }
 
-/** How long before a request's end state changes are included: the longest time-out of a route plus the longest time to detect an unresponsive target. */
+/** How long before a request's end state changes are included: the longest timeout of a route plus the longest time to detect an unresponsive target. */
 const LOOKBACK_MS = 10_000;
 
 /** Events about the state of a VM as a whole rather than of one target. */
@@ -69,19 +69,21 @@
 
   /** Returns the timeline after all lines have been added. */
   timeline(): RequestTimeline {
-    const own = this.#requestLines.toSorted(byTime);
+    const requestLines = this.#requestLines.toSorted(byTime);
     return {
-      own,
-      beliefs: own.length === 0 ? [] : this.#stateChangesAround(own),
+      requestLines,
+      stateChanges: requestLines.length === 0
+        ? []
+        : this.#stateChangesAround(requestLines),
       unreadable: this.#unreadable,
     };
   }
 
-  #stateChangesAround(own: readonly LogLine[]): readonly LogLine[] {
-    const vms = new Set(own.map(({ vm }) => vm));
-    const targets = new Set(own.map(({ fields }) => fields.target));
-    const services = new Set(own.map(({ fields }) => fields.service));
-    const end = Date.parse(own.at(-1)!.timestamp);
+  #stateChangesAround(requestLines: readonly LogLine[]): readonly LogLine[] {
+    const vms = new Set(requestLines.map(({ vm }) => vm));
+    const targets = new Set(requestLines.map(({ fields }) => fields.target));
+    const services = new Set(requestLines.map(({ fields }) => fields.service));
+    const end = Date.parse(requestLines.at(-1)!.timestamp);
     return this.#stateLines.filter(({ vm, timestamp, message, fields }) => {
       const ageMs = end - Date.parse(timestamp);
       const isRelevant = VM_WIDE_EVENTS.has(message) ||
--- a/packages/cli/src/request_timeline_test.ts
+++ b/packages/cli/src/request_timeline_test.ts
@@ -19,9 +19,14 @@
 function timelineOf(request: string, lines: readonly string[]) {
   const reader = new RequestTimelineReader(request);
   lines.forEach((one) => reader.read(one));
-  const { own, beliefs, unreadable } = reader.timeline();
-  const messages = (list: typeof own) => list.map(({ message }) => message);
-  return { own: messages(own), beliefs: messages(beliefs), unreadable };
+  const { requestLines, stateChanges, unreadable } = reader.timeline();
+  const messages = (list: typeof requestLines) =>
+    list.map(({ message }) => message);
+  return {
+    requestLines: messages(requestLines),
+    stateChanges: messages(stateChanges),
+    unreadable,
+  };
 }
 
 const LINES = [
@@ -40,20 +45,20 @@
 
 test("a request's lines are in order of time, with the state changes of its targets", () => {
   expect(timelineOf("r-1", LINES)).toEqual({
-    own: ["attempt failed", "request ended"],
-    beliefs: ["zone evacuated", "target silent"],
+    requestLines: ["attempt failed", "request ended"],
+    stateChanges: ["zone evacuated", "target silent"],
     unreadable: 0,
   });
 });
 
 test("an unknown id has no lines", () => {
-  expect(timelineOf("r-7", LINES).own).toEqual([]);
+  expect(timelineOf("r-7", LINES).requestLines).toEqual([]);
 });
 
 test("truncated lines are counted and otherwise ignored", () => {
   const truncated = [...LINES, LINES[0]!.slice(0, 30), "not JSON", "{}", ""];
   expect(timelineOf("r-1", truncated)).toMatchObject({
-    own: ["attempt failed", "request ended"],
+    requestLines: ["attempt failed", "request ended"],
     unreadable: 3,
   });
 });
--- a/packages/cli/src/vms.ts
+++ b/packages/cli/src/vms.ts
@@ -7,7 +7,7 @@
 import { OperatorApiError, OperatorClient } from "@poplarthread/operator-api";
 import { CommandError, ExitCode } from "./exit_code.ts";
 
-/** Addresses of the VMs, the operator's token and the time-out of calls. */
+/** Addresses of the VMs, the operator's token and the timeout of calls. */
 export interface VmClientsOptions {
   readonly urls: readonly string[];
   readonly token: string;
--- a/packages/coordination/src/configuration/follower.ts
+++ b/packages/coordination/src/configuration/follower.ts
@@ -101,7 +101,7 @@
 
   /** Handles a peer's revision that came with a heartbeat. */
   receiveRevision(revision: number): void {
-    this.#handle({ kind: "heard", revision });
+    this.#handle({ kind: "reported", revision });
   }
 
   #handle(event: FollowerEvent<Value>): void {
--- a/packages/coordination/src/configuration/follower_core.ts
+++ b/packages/coordination/src/configuration/follower_core.ts
@@ -19,7 +19,7 @@
    */
   readonly currentAt: number;
   /** The highest revision known to exist; its value may not have been received yet. */
-  readonly heardRevision: number;
+  readonly highestRevision: number;
 }
 
 /** Input of the state machine. */
@@ -37,7 +37,7 @@
     readonly ageMs: number;
   }
   /** A heartbeat carried a peer's revision without its value. */
-  | { readonly kind: "heard"; readonly revision: number };
+  | { readonly kind: "reported"; readonly revision: number };
 
 /** Actions for the follower's task to perform. */
 export type FollowerEffect<Value extends Json> =
@@ -62,7 +62,7 @@
 
 /** State of a VM that has received no configuration yet. */
 export function newFollower<Value extends Json>(): FollowerState<Value> {
-  return { inForce: undefined, currentAt: -Infinity, heardRevision: 0 };
+  return { inForce: undefined, currentAt: -Infinity, highestRevision: 0 };
 }
 
 /**
@@ -87,8 +87,8 @@
       return afterTable(state, event.inForce, event.startedAt);
     case "peer":
       return applyInForce(state, event.inForce, now - event.ageMs);
-    case "heard":
-      return applyHeardRevision(state, event.revision);
+    case "reported":
+      return applyReportedRevision(state, event.revision);
   }
 }
 
@@ -133,23 +133,23 @@
     const latest = Math.max(state.currentAt, currentAt);
     return { state: { ...state, currentAt: latest }, effects: [] };
   }
-  const heardRevision = Math.max(state.heardRevision, inForce.revision);
+  const highestRevision = Math.max(state.highestRevision, inForce.revision);
   return {
-    state: { inForce, currentAt, heardRevision },
+    state: { inForce, currentAt, highestRevision },
     effects: [{ kind: "adopt", inForce }],
   };
 }
 
-function applyHeardRevision<Value extends Json>(
+function applyReportedRevision<Value extends Json>(
   state: FollowerState<Value>,
   revision: number,
 ): FollowerResult<Value> {
   if (revision <= revisionOf(state)) {
     return { state, effects: [] };
   }
-  const heardRevision = Math.max(state.heardRevision, revision);
+  const highestRevision = Math.max(state.highestRevision, revision);
   return {
-    state: { ...state, heardRevision },
+    state: { ...state, highestRevision },
     effects: [{ kind: "fetch", revision }],
   };
 }
--- a/packages/coordination/src/freshness/freshness.ts
+++ b/packages/coordination/src/freshness/freshness.ts
@@ -31,8 +31,8 @@
 
 /** Times of a request and its response, both on the clock of the process that uses them. */
 export interface RequestTimes {
-  readonly askedAt: number;
-  readonly answeredAt: number;
+  readonly requestedAt: number;
+  readonly respondedAt: number;
 }
 
 /** Time up to which the result of a read is known to be complete. */
@@ -46,21 +46,21 @@
  */
 export function knownSinceReport(
   { readAgeMs, heldMs }: FreshnessReport,
-  { askedAt, answeredAt }: RequestTimes,
+  { requestedAt, respondedAt }: RequestTimes,
 ): number {
-  const transitMs = Math.max(0, answeredAt - askedAt - heldMs);
-  return answeredAt - transitMs - readAgeMs;
+  const transitMs = Math.max(0, respondedAt - requestedAt - heldMs);
+  return respondedAt - transitMs - readAgeMs;
 }
 
 /** The age report of a process whose copy is complete up to `knownSince`, in its response to a request. */
 export function freshnessReport(
   knownSince: number,
-  { askedAt, answeredAt }: RequestTimes,
+  { requestedAt, respondedAt }: RequestTimes,
 ): FreshnessReport {
   // Rounded so that the receiver underestimates neither the age nor the transit time.
   return {
-    readAgeMs: Math.ceil(answeredAt - knownSince),
-    heldMs: Math.floor(answeredAt - askedAt),
+    readAgeMs: Math.ceil(respondedAt - knownSince),
+    heldMs: Math.floor(respondedAt - requestedAt),
   };
 }
 
--- a/packages/coordination/src/lease/lease.ts
+++ b/packages/coordination/src/lease/lease.ts
@@ -130,8 +130,8 @@
       if (step.kind === "read") {
         const [lease, beat] = await this.#table.read(step.keys);
         const rows = { lease: lease!, beat: beat! };
-        const answeredAt = performance.now();
-        const event = { kind: "rows", rows, answeredAt } as const;
+        const receivedAt = performance.now();
+        const event = { kind: "rows", rows, receivedAt: receivedAt } as const;
         this.#state = advanceLease(this.#state, event);
         return;
       }
--- a/packages/coordination/src/lease/lease_core.ts
+++ b/packages/coordination/src/lease/lease_core.ts
@@ -55,7 +55,7 @@
 }
 
 /** What a contender knows about the lease. */
-export type LeaseBelief =
+export type LeaseStatus =
   | { readonly kind: "unseen" }
   /** Another contender or nobody holds it; `rows` have not changed since `since`. */
   | {
@@ -79,7 +79,7 @@
 /** State of a contender between two calls to the table. */
 export interface LeaseState {
   readonly contender: LeaseContender;
-  readonly belief: LeaseBelief;
+  readonly status: LeaseStatus;
 }
 
 /** The next call of the contender to the table. */
@@ -104,7 +104,7 @@
      * like missing renewals, and the contender would take over a lease that had
      * just been renewed.
      */
-    readonly answeredAt: number;
+    readonly receivedAt: number;
   }
   | {
     readonly kind: "result";
@@ -126,14 +126,14 @@
 
 /** State of a contender that has not read the table yet. */
 export function newLease(contender: LeaseContender): LeaseState {
-  return { contender, belief: { kind: "unseen" } };
+  return { contender, status: { kind: "unseen" } };
 }
 
 /** The fencing token while the lease is held by the contender's own clock, else undefined. */
 export function heldToken(state: LeaseState, now: number): number | undefined {
-  const { belief } = state;
-  return belief.kind === "held" && now < belief.deadline
-    ? belief.token
+  const { status } = state;
+  return status.kind === "held" && now < status.deadline
+    ? status.token
     : undefined;
 }
 
@@ -166,19 +166,19 @@
   state: LeaseState,
   now: number,
 ): LeaseStep | undefined {
-  const { contender, belief } = state;
-  switch (belief.kind) {
+  const { contender, status } = state;
+  switch (status.kind) {
     case "stopped":
       return undefined;
     case "unseen":
       return readStep(contender);
     case "watching":
-      return canAcquire(contender, belief, now)
-        ? acquireStep(contender, belief.rows)
+      return canAcquire(contender, status, now)
+        ? acquireStep(contender, status.rows)
         : readStep(contender);
     case "held":
-      return now < belief.deadline
-        ? renewStep(contender, belief)
+      return now < status.deadline
+        ? renewStep(contender, status)
         : readStep(contender);
   }
 }
@@ -191,10 +191,10 @@
 export function stopLease(
   state: LeaseState,
 ): { readonly state: LeaseState; readonly release: LeaseStep | undefined } {
-  const { contender, belief } = state;
+  const { contender, status } = state;
   const stopped = { ...state, belief: { kind: "stopped" } as const };
-  return belief.kind === "held"
-    ? { state: stopped, release: releaseStep(contender, belief) }
+  return status.kind === "held"
+    ? { state: stopped, release: releaseStep(contender, status) }
     : { state: stopped, release: undefined };
 }
 
@@ -205,13 +205,13 @@
 ): LeaseState {
   switch (event.kind) {
     case "rows":
-      return { ...state, belief: afterRead(state, event) };
+      return { ...state, status: afterRead(state, event) };
     case "result":
-      return { ...state, belief: afterTransact(state, event) };
+      return { ...state, status: afterTransact(state, event) };
     case "failed":
-      return state.belief.kind === "held"
+      return state.status.kind === "held"
         ? state
-        : { ...state, belief: { kind: "unseen" } };
+        : { ...state, status: { kind: "unseen" } };
   }
 }
 
@@ -228,32 +228,32 @@
 
 function canAcquire(
   contender: LeaseContender,
-  belief: Extract<LeaseBelief, { kind: "watching" }>,
+  status: Extract<LeaseStatus, { kind: "watching" }>,
   now: number,
 ): boolean {
-  const holder = holderOf(belief.rows.lease);
+  const holder = holderOf(status.rows.lease);
   // The row names this instance as the holder only if the response to its own
   // call was lost. The lease is then acquired again under a new token, so that
   // the duration starts at a call whose response did arrive.
   if (holder === null || holder === contender.instance) {
     return true;
   }
-  return now - belief.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR;
+  return now - status.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR;
 }
 
 function releaseStep(
   contender: LeaseContender,
-  belief: Extract<LeaseBelief, { kind: "held" }>,
+  status: Extract<LeaseStatus, { kind: "held" }>,
 ): LeaseStep {
   const row: LeaseRow = { holder: null };
   const key = leaseKey(contender.name);
   return {
     kind: "transact",
     purpose: "release",
-    token: belief.token,
-    beat: belief.beat,
+    token: status.token,
+    beat: status.beat,
     transaction: {
-      conditions: [fence(contender.name, belief.token)],
+      conditions: [fence(contender.name, status.token)],
       // The row is not deleted: the versions of a deleted row start at 1 again,
       // so a token that was used before would pass the fencing condition.
       writes: [{ key, value: row as unknown as Json }],
@@ -287,14 +287,14 @@
 
 function renewStep(
   contender: LeaseContender,
-  belief: Extract<LeaseBelief, { kind: "held" }>,
+  status: Extract<LeaseStatus, { kind: "held" }>,
 ): LeaseStep {
-  const { token } = belief;
+  const { token } = status;
   return {
     kind: "transact",
     purpose: "renew",
     token,
-    beat: belief.beat + 1,
+    beat: status.beat + 1,
     transaction: {
       conditions: [fence(contender.name, token)],
       writes: [{ key: beatKey(contender.name), value: { token } }],
@@ -305,26 +305,26 @@
 function afterRead(
   state: LeaseState,
   event: Extract<LeaseEvent, { kind: "rows" }>,
-): LeaseBelief {
-  const { belief } = state;
-  const { rows, answeredAt } = event;
-  if (belief.kind === "stopped") {
-    return belief;
+): LeaseStatus {
+  const { status } = state;
+  const { rows, receivedAt } = event;
+  if (status.kind === "stopped") {
+    return status;
   }
-  const unchanged = belief.kind === "watching" &&
-    belief.rows.lease.version === rows.lease.version &&
-    belief.rows.beat.version === rows.beat.version;
-  return unchanged ? belief : { kind: "watching", rows, since: answeredAt };
+  const unchanged = status.kind === "watching" &&
+    status.rows.lease.version === rows.lease.version &&
+    status.rows.beat.version === rows.beat.version;
+  return unchanged ? status : { kind: "watching", rows, since: receivedAt };
 }
 
 function afterTransact(
   state: LeaseState,
   event: Extract<LeaseEvent, { kind: "result" }>,
-): LeaseBelief {
-  const { contender, belief } = state;
+): LeaseStatus {
+  const { contender, status } = state;
   const { step, result, startedAt } = event;
-  if (belief.kind === "stopped") {
-    return belief;
+  if (status.kind === "stopped") {
+    return status;
   }
   if (result.kind === "conflict") {
     return { kind: "unseen" };
--- a/packages/coordination/src/plan_term/term.ts
+++ b/packages/coordination/src/plan_term/term.ts
@@ -103,7 +103,7 @@
   /** End of the term by this VM's clock: the plan's slots may be used before it. */
   readonly validUntil: number;
   /** Number of renewal requests sent so far. */
-  readonly asked: number;
+  readonly requestsSent: number;
   readonly last: RenewalRequest | undefined;
 }
 
@@ -144,7 +144,7 @@
     holders: [],
     isHeir: false,
     validUntil: -Infinity,
-    asked: 0,
+    requestsSent: 0,
     last: undefined,
   };
 }
@@ -289,12 +289,16 @@
   if (!isDue || others.length === 0 || !mayUseSlots(state)) {
     return result(state);
   }
-  const asked = state.asked + 1;
-  const question = `${self.instance}/${asked}`;
-  const to = others[asked % others.length]!.vm;
+  const requestsSent = state.requestsSent + 1;
+  const question = `${self.instance}/${requestsSent}`;
+  const to = others[requestsSent % others.length]!.vm;
   const message = { kind: "renew", from: self, sequence, question } as const;
   return result(
-    { ...state, asked, last: { question, askedAt: now, answered: false } },
+    {
+      ...state,
+      requestsSent,
+      last: { question, askedAt: now, answered: false },
+    },
     { kind: "send", to, message },
   );
 }
--- a/packages/daemon/src/gateway/accounts/credit_exchange.ts
+++ b/packages/daemon/src/gateway/accounts/credit_exchange.ts
@@ -28,7 +28,7 @@
 const LEND_METHOD = "lend";
 /** Minimum interval between loan requests for one account: a few round trips between regions. */
 const BORROW_INTERVAL_MS = 250;
-/** Time-out for a credit owner's response. The network takes 1 ms of it; the rest allows for a busy event loop. */
+/** Timeout for a credit owner's response. The network takes 1 ms of it; the rest allows for a busy event loop. */
 const RESPONSE_TIMEOUT_MS = 80;
 /** How long refunded credit can be used: without expiry it would add to what a later quota window allows. */
 const REFUND_TTL_MS = 500;
--- a/packages/daemon/src/gateway/attempt_report.ts
+++ b/packages/daemon/src/gateway/attempt_report.ts
@@ -140,18 +140,18 @@
     readonly now: number;
   },
 ): void {
-  const { limitPerSecond: perSecond, isLeaving, backOffMs: restMs } = response;
+  const { limitPerSecond: perSecond, isLeaving, backOffMs } = response;
   if (perSecond !== undefined || liftsLimit(response)) {
     services.limitReported({ target, perSecond, at: now });
   }
   if (isLeaving) {
     services.targets.markLeaving(target);
   }
-  if (restMs > 0) {
-    services.steering.backOff(target, now + restMs);
+  if (backOffMs > 0) {
+    services.steering.backOff(target, now + backOffMs);
     services.log.write("target asks for rest", {
       target,
-      restMs: Math.round(restMs),
+      restMs: Math.round(backOffMs),
     });
   }
 }
--- a/packages/daemon/src/gateway/gateway.ts
+++ b/packages/daemon/src/gateway/gateway.ts
@@ -45,7 +45,7 @@
 export interface Gateway {
   /** Resolves with the cause when the gateway cannot continue. */
   readonly failed: Promise<unknown>;
-  /** Graceful shutdown; resolves when all requests have ended or the stop time-out has expired. */
+  /** Graceful shutdown; resolves when all requests have ended or the stop timeout has expired. */
   stop(): Promise<void>;
   /** Stops immediately and aborts requests in flight. Also the last step of {@link stop}; otherwise for tests. */
   kill(): Promise<void>;
@@ -240,8 +240,7 @@
       targetUnresponsive: () => this.#metrics.stateChanged("target-silent"),
       probe: (target) => this.#probe(target),
       requestQueued: () => this.#timer.scheduleWithin(BUSY_TICK_MS),
-      publishLimit: (word) =>
-        this.#beacon.send({ kind: "limit", update: word }),
+      publishLimit: (update) => this.#beacon.send({ kind: "limit", update }),
       publishCrash: (crash) => this.#beacon.send({ kind: "crash", crash }),
       ended: (exchange, end) => this.#onRequestEnd(exchange, end),
       attemptEnded: (end) => this.#metrics.attemptEnded(end),
--- a/packages/daemon/src/gateway/ports.ts
+++ b/packages/daemon/src/gateway/ports.ts
@@ -27,7 +27,7 @@
   readonly zone: ZoneId;
   readonly slots: number;
   /** The target finishes the requests that it has and must get no new ones. */
-  readonly leaving: boolean;
+  readonly isLeaving: boolean;
   /** Remaining time for which the target is slow after its start, as of its last update. */
   readonly coldMs: number;
   /** Start of the target, in Unix milliseconds; tells runs under one id apart. Undefined if not given. */
--- a/packages/daemon/src/gateway/relay.ts
+++ b/packages/daemon/src/gateway/relay.ts
@@ -69,7 +69,7 @@
 const MAX_REQUEST_BYTES = 4_096;
 /** How long an idle connection is kept: longer than a VM uses another relay in between. */
 const KEEP_ALIVE_MS = 60_000;
-/** Added to the requested wait for the time-out of a call: covers round trips in the region and a busy VM. */
+/** Added to the requested wait for the timeout of a call: covers round trips in the region and a busy VM. */
 const RESPONSE_MARGIN_MS = 500;
 
 const paramsSchema = z.object({
--- a/packages/daemon/src/gateway/subject_watch.ts
+++ b/packages/daemon/src/gateway/subject_watch.ts
@@ -217,8 +217,8 @@
           ...changes,
           ageMs: Math.round(this.ageMs),
           ...freshnessReport(this.#knownSince, {
-            askedAt: steadyReceivedAt,
-            answeredAt: this.#steadyNow,
+            requestedAt: steadyReceivedAt,
+            respondedAt: this.#steadyNow,
           }),
           regainedMs: Number.isFinite(this.#restoredAt)
             ? Math.round(now - this.#restoredAt)
@@ -290,7 +290,7 @@
   async #queryRelay(relay: Member): Promise<void> {
     this.#queriedRelay = relay;
     const isFallback = this.#sources.isFallback(relay);
-    const askedAt = this.#steadyNow;
+    const requestedAt = this.#steadyNow;
     const response = await this.#options.queryRelay(relay, {
       version: this.#copy.position ?? -1,
       // A fallback that has lost the store, too, could hold the request for the whole
@@ -320,7 +320,7 @@
       version: response.position,
     });
     this.#recordKnownSince(
-      knownSinceReport(response, { askedAt, answeredAt: this.#steadyNow }),
+      knownSinceReport(response, { requestedAt, respondedAt: this.#steadyNow }),
     );
     if (!isFresh) {
       this.#backOff(relay, STALE_BACK_OFF_MS, "its rows are stale");
--- a/packages/daemon/src/gateway/target_directory.ts
+++ b/packages/daemon/src/gateway/target_directory.ts
@@ -80,7 +80,7 @@
   markLeaving(id: TargetId): void {
     const target = this.#known.get(id);
     if (
-      target === undefined || target.leaving ||
+      target === undefined || target.isLeaving ||
       this.#hasAnnouncedLeaving(target)
     ) {
       return;
@@ -165,7 +165,7 @@
   }
 
   #updateTarget(target: RegisteredTarget, now: number): void {
-    const { steering, onRunEnded: onGone, onChange } = this.#options;
+    const { steering, onRunEnded, onChange } = this.#options;
     const known = this.#known.get(target.id);
     const wasMissing = this.#missingUntil.delete(target.id);
     if (known === target && !wasMissing) {
@@ -185,9 +185,9 @@
       this.#announcedLeaving.delete(target.id);
       steering.restarted(target.id);
       steering.markCold(target.id, now + this.#coldMs(target));
-      onGone(target.id);
+      onRunEnded(target.id);
       onChange(target, "restarted");
-    } else if (target.leaving && !known.leaving) {
+    } else if (target.isLeaving && !known.isLeaving) {
       onChange(target, "leaving");
     } else if (wasMissing) {
       onChange(target, "back");
@@ -210,7 +210,7 @@
 
   #updateSteering(target: RegisteredTarget): void {
     const { id, service, zone, slots } = target;
-    const leaving = target.leaving || this.#hasAnnouncedLeaving(target);
+    const isLeaving = target.isLeaving || this.#hasAnnouncedLeaving(target);
     const region = this.#options.zones.get(zone);
     if (region === undefined) {
       // A zone that is not in the settings belongs to no region, so no route can use it.
@@ -222,7 +222,7 @@
       zone,
       region,
       slots,
-      leaving,
+      isLeaving,
       hash: hashText(id),
       coldPerSecond: this.#services.get(service)?.coldPerSecond ??
         DEFAULT_COLD_REQUESTS_PER_SECOND,
--- a/packages/model/src/claims_model.ts
+++ b/packages/model/src/claims_model.ts
@@ -47,7 +47,7 @@
   readonly isLost: boolean;
   readonly attempt: attemptCore.Attempt;
   /** The query to the holder in flight, with the response once the holder has sent it. */
-  readonly question: { readonly answer: HolderAnswer | null } | null;
+  readonly query: { readonly response: HolderAnswer | null } | null;
   readonly refusal: attemptCore.ClaimRefusal | null;
   /** Sendings that had been dispatched before this one arrived. */
   readonly ranBefore: readonly number[];
@@ -58,7 +58,7 @@
 export interface ClaimsState {
   readonly world: TableWorld;
   /** Number of restarts of each VM; each starts a new instance. */
-  readonly lives: readonly number[];
+  readonly restarts: readonly number[];
   readonly sendings: readonly Sending[];
   /** Events that may still occur. */
   readonly left: Pick<ClaimsBounds, "crashes" | "expiries">;
@@ -73,8 +73,8 @@
 export type ClaimsEvent =
   | TableEvent
   | { readonly type: "arrive"; readonly vm: number }
-  | { readonly type: "holder-answers"; readonly sending: number }
-  | { readonly type: "holder-answer-comes"; readonly sending: number }
+  | { readonly type: "holder-responds"; readonly sending: number }
+  | { readonly type: "holder-response-arrives"; readonly sending: number }
   | { readonly type: "holder-out-of-reach"; readonly sending: number }
   | { readonly type: "dispatch"; readonly sending: number }
   | {
@@ -132,7 +132,7 @@
         return { ...state, world: sendCall(state.world, String(index), call) };
       }
       case "ask":
-        return updateSending(state, index, { question: { answer: null } });
+        return updateSending(state, index, { query: { response: null } });
       case "send": {
         const after = updateSending(state, index, { wasSent: true });
         return { ...after, ran: [...state.ran, index] };
@@ -159,7 +159,7 @@
     const started = core.startAttempt({
       id: `attempt-${index}` as claimRow.AttemptId,
       claim: "claim" as claimRow.ClaimId,
-      instance: instanceOf(vm, state.lives[vm]!),
+      instance: instanceOf(vm, state.restarts[vm]!),
       bodyDigest: isOther ? "other" : "body",
       claimedAt: 0,
     });
@@ -167,7 +167,7 @@
       vm,
       isLost: false,
       attempt: started.attempt,
-      question: null,
+      query: null,
       refusal: null,
       ranBefore: state.ran,
       wasSent: false,
@@ -194,11 +194,11 @@
       state.world,
     );
     const sendings = state.sendings.map((sending) =>
-      sending.vm === vm ? { ...sending, isLost: true, question: null } : sending
+      sending.vm === vm ? { ...sending, isLost: true, query: null } : sending
     );
-    const lives = state.lives.with(vm, state.lives[vm]! + 1);
+    const restarts = state.restarts.with(vm, state.restarts[vm]! + 1);
     const left = { ...state.left, crashes: state.left.crashes - 1 };
-    return { ...state, world, sendings, lives, left };
+    return { ...state, world, sendings, restarts, left };
   }
 
   function end(
@@ -231,17 +231,17 @@
     switch (event.type) {
       case "arrive":
         return arrive(state, event.vm);
-      case "holder-answers": {
-        const answer = holderResponse(state, event.sending);
-        return updateSending(state, event.sending, { question: { answer } });
+      case "holder-responds": {
+        const response = holderResponse(state, event.sending);
+        return updateSending(state, event.sending, { query: { response } });
       }
-      case "holder-answer-comes": {
-        const answer = state.sendings[event.sending]!.question!.answer!;
-        const updated = updateSending(state, event.sending, { question: null });
+      case "holder-response-arrives": {
+        const answer = state.sendings[event.sending]!.query!.response!;
+        const updated = updateSending(state, event.sending, { query: null });
         return advance(updated, event.sending, { kind: "holder", answer });
       }
       case "holder-out-of-reach": {
-        const updated = updateSending(state, event.sending, { question: null });
+        const updated = updateSending(state, event.sending, { query: null });
         const answer = { kind: "unreachable" } as const;
         return advance(updated, event.sending, { kind: "holder", answer });
       }
@@ -286,7 +286,7 @@
     bounds: { ...bounds },
     initial: {
       world: newWorld(bounds.losses),
-      lives: Array.from({ length: bounds.vms }, () => 0),
+      restarts: Array.from({ length: bounds.vms }, () => 0),
       sendings: [],
       left: { crashes, expiries },
       ran: [],
@@ -334,7 +334,7 @@
 
 function sendingEvents(
   state: ClaimsState,
-  { isLost, attempt, question }: Sending,
+  { isLost, attempt, query }: Sending,
   sending: number,
 ): readonly ClaimsEvent[] {
   const { kind } = attempt.phase;
@@ -342,11 +342,11 @@
     return [];
   }
   const events: ClaimsEvent[] = [];
-  if (question !== null) {
+  if (query !== null) {
     events.push(
-      question.answer === null
-        ? { type: "holder-answers", sending }
-        : { type: "holder-answer-comes", sending },
+      query.response === null
+        ? { type: "holder-responds", sending }
+        : { type: "holder-response-arrives", sending },
       { type: "holder-out-of-reach", sending },
     );
   }
--- a/packages/model/src/configuration_model.ts
+++ b/packages/model/src/configuration_model.ts
@@ -52,7 +52,7 @@
   readonly operationId: OperationId;
   readonly core: acceptance.Acceptance<Value>;
   /** The outcome reported to the operator. */
-  readonly told: Outcome | null;
+  readonly reportedOutcome: Outcome | null;
 }
 
 interface Follower {
@@ -133,8 +133,14 @@
   ): ConfigurationState {
     const operator = state.operators[index]!;
     const after = core.advanceAcceptance(operator.core, event);
-    const told = after.step.kind === "done" ? after.step.outcome : null;
-    return withOperator(state, index, { ...operator, core: after, told });
+    const reportedOutcome = after.step.kind === "done"
+      ? after.step.outcome
+      : null;
+    return withOperator(state, index, {
+      ...operator,
+      core: after,
+      reportedOutcome,
+    });
   }
 
   function follow(
@@ -189,7 +195,7 @@
     return withOperator({ ...state, world, retries }, index, {
       ...operator,
       core: start(operator.operationId, currentRevision(state), false),
-      told: null,
+      reportedOutcome: null,
     });
   }
 
@@ -230,7 +236,7 @@
   const operators = ids.map((operationId): Operator => ({
     operationId,
     core: start(operationId, 0, true),
-    told: null,
+    reportedOutcome: null,
   }));
   const initial = operators.reduce<ConfigurationState>(
     (state, _, index) => sendStep(state, index),
@@ -269,7 +275,7 @@
     const isDone = operator.core.step.kind === "done";
     // The timeout is handled only between two calls: before the next one is sent.
     const call = state.world.calls[`operator-${index}`];
-    if (!isDone && call?.answer === undefined && call?.call.kind === "read") {
+    if (!isDone && call?.response === undefined && call?.call.kind === "read") {
       events.push({ type: "expire", operator: index });
     }
     if (state.retries > 0) {
@@ -330,19 +336,19 @@
         countAccepted(state, operationId) <= 1
       ),
     "a change reported as accepted was accepted as that revision": (state) =>
-      state.operators.every(({ told, operationId }) =>
+      state.operators.every(({ reportedOutcome: told, operationId }) =>
         told?.kind !== "accepted" ||
         auditEntryOf(state, told.revision)?.operationId === operationId
       ),
     "a change reported as not accepted or superseded is never accepted": (
       state,
     ) =>
-      state.operators.every(({ told, operationId }) =>
+      state.operators.every(({ reportedOutcome: told, operationId }) =>
         (told?.kind !== "not-accepted" && told?.kind !== "superseded") ||
         countAccepted(state, operationId) === 0
       ),
     "a superseded change is reported with its winner": (state) =>
-      state.operators.every(({ told }) =>
+      state.operators.every(({ reportedOutcome: told }) =>
         told?.kind !== "superseded" || told.winner !== undefined
       ),
     "no follower returns to a lower revision": (state) =>
--- a/packages/model/src/freshness_model.ts
+++ b/packages/model/src/freshness_model.ts
@@ -42,14 +42,14 @@
   /** When it reached the process `of`, on that one's clock. */
   readonly arrivedAt: number | undefined;
   /** The response; undefined until it was sent. */
-  readonly answer: Answer | undefined;
+  readonly response: CallResponse | undefined;
 }
 
 /** The response to a read or a query. */
-interface Answer {
+interface CallResponse {
   readonly knowsOfRemoval: boolean;
   /** Freshness reported by the process; undefined for the table. */
-  readonly word: freshness.FreshnessReport | undefined;
+  readonly freshness: freshness.FreshnessReport | undefined;
 }
 
 interface Process {
@@ -84,7 +84,7 @@
     readonly of: number | undefined;
   }
   | { readonly type: "arrives"; readonly call: number }
-  | { readonly type: "is-answered"; readonly call: number }
+  | { readonly type: "responds"; readonly call: number }
   | { readonly type: "ends"; readonly call: number; readonly isLost: boolean };
 
 /** Builds the model with the functions under test. */
@@ -160,10 +160,10 @@
 }
 
 function callEvents(
-  { of, arrivedAt, answer }: Call,
+  { of, arrivedAt, response }: Call,
   call: number,
 ): readonly FreshnessEvent[] {
-  if (answer !== undefined) {
+  if (response !== undefined) {
     return [
       { type: "ends", call, isLost: false },
       { type: "ends", call, isLost: true },
@@ -171,7 +171,7 @@
   }
   return of !== undefined && arrivedAt === undefined
     ? [{ type: "arrives", call }]
-    : [{ type: "is-answered", call }];
+    : [{ type: "responds", call }];
 }
 
 function next(
@@ -191,7 +191,7 @@
         of,
         startedAt: steadyClock(state.processes[by]!),
         arrivedAt: undefined,
-        answer: undefined,
+        response: undefined,
       };
       return {
         ...state,
@@ -204,10 +204,10 @@
       const arrivedAt = steadyClock(state.processes[call.of!]!);
       return withCall(state, event.call, { ...call, arrivedAt });
     }
-    case "is-answered": {
+    case "responds": {
       const call = state.calls[event.call]!;
-      const answer = answerTo(state, call, core);
-      return withCall(state, event.call, { ...call, answer });
+      const response = responseTo(state, call, core);
+      return withCall(state, event.call, { ...call, response });
     }
     case "ends":
       return endCall(state, event, core);
@@ -235,20 +235,20 @@
   };
 }
 
-function answerTo(
+function responseTo(
   { removedAt, processes }: FreshnessState,
   { of, arrivedAt }: Call,
   core: FreshnessCore,
-): Answer {
+): CallResponse {
   if (of === undefined) {
-    return { knowsOfRemoval: removedAt !== undefined, word: undefined };
+    return { knowsOfRemoval: removedAt !== undefined, freshness: undefined };
   }
   const process = processes[of]!;
   return {
     knowsOfRemoval: process.knowsOfRemoval,
-    word: core.freshnessReport(process.knownSince, {
-      askedAt: arrivedAt!,
-      answeredAt: steadyClock(process),
+    freshness: core.freshnessReport(process.knownSince, {
+      requestedAt: arrivedAt!,
+      respondedAt: steadyClock(process),
     }),
   };
 }
@@ -258,17 +258,20 @@
   { call: index, isLost }: Extract<FreshnessEvent, { type: "ends" }>,
   core: FreshnessCore,
 ): FreshnessState {
-  const { by, startedAt, answer } = state.calls[index]!;
+  const { by, startedAt, response } = state.calls[index]!;
   const calls = state.calls.toSpliced(index, 1);
   if (isLost) {
     return { ...state, calls };
   }
   const process = state.processes[by]!;
   const now = steadyClock(process);
-  const { knowsOfRemoval, word } = answer!;
-  const since = word === undefined
+  const { knowsOfRemoval, freshness: report } = response!;
+  const since = report === undefined
     ? core.knownSinceRead({ startedAt, endedAt: now })
-    : core.knownSinceReport(word, { askedAt: startedAt, answeredAt: now });
+    : core.knownSinceReport(report, {
+      requestedAt: startedAt,
+      respondedAt: now,
+    });
   return {
     ...state,
     calls,
--- a/packages/model/src/freshness_model_test.ts
+++ b/packages/model/src/freshness_model_test.ts
@@ -77,18 +77,18 @@
     ],
     [
       "ignores the time in transit",
-      "return answeredAt - transitMs - readAgeMs;",
-      "return answeredAt - readAgeMs;",
+      "return respondedAt - transitMs - readAgeMs;",
+      "return respondedAt - readAgeMs;",
     ],
     [
       "ignores the age at the queried process",
-      "return answeredAt - transitMs - readAgeMs;",
-      "return answeredAt - transitMs;",
+      "return respondedAt - transitMs - readAgeMs;",
+      "return respondedAt - transitMs;",
     ],
     [
       "counts too much time as spent at the queried process",
-      "heldMs: Math.floor(answeredAt - askedAt),",
-      "heldMs: Math.floor(answeredAt - askedAt) + 1,",
+      "heldMs: Math.floor(respondedAt - requestedAt),",
+      "heldMs: Math.floor(respondedAt - requestedAt) + 1,",
     ],
     [
       "relies on information for a step too long",
--- a/packages/model/src/held_back_model.ts
+++ b/packages/model/src/held_back_model.ts
@@ -36,7 +36,7 @@
     readonly inFlight: readonly Fingerprint[];
   }
   | { readonly kind: "completed" }
-  | { readonly kind: "heard"; readonly message: HeldBackMessage };
+  | { readonly kind: "received"; readonly message: HeldBackMessage };
 
 interface Envelope {
   readonly to: number;
@@ -140,7 +140,7 @@
       }
       case "deliver": {
         const { to, message } = state.mail[event.mailed]!;
-        const after = addInput(state, to, { kind: "heard", message });
+        const after = addInput(state, to, { kind: "received", message });
         const mail = event.comesAgain
           ? state.mail
           : state.mail.filter((_, index) => index !== event.mailed);
@@ -226,7 +226,7 @@
       return table.targetCrashed(input.target, input.inFlight, now);
     case "completed":
       return table.completed(OTHER, now);
-    case "heard":
+    case "received":
       table.receive(input.message, now);
       return [];
   }
@@ -237,7 +237,7 @@
     if (input.kind === "died") {
       return [input.target];
     }
-    const isCrash = input.kind === "heard" &&
+    const isCrash = input.kind === "received" &&
       input.message.kind === "coincided" &&
       input.message.fingerprint === CULPRIT;
     return isCrash ? [(input.message as { target: TargetId }).target] : [];
@@ -252,10 +252,10 @@
 function isCompletionKnown(inputs: readonly Input[]): boolean {
   const suspectedAt = inputs.findIndex((input) =>
     input.kind === "died" && input.inFlight.includes(OTHER) ||
-    input.kind === "heard" && input.message.fingerprint === OTHER
+    input.kind === "received" && input.message.fingerprint === OTHER
   );
   const isCompletion = (input: Input): boolean =>
     input.kind === "completed" ||
-    (input.kind === "heard" && input.message.kind === "completed");
+    (input.kind === "received" && input.message.kind === "completed");
   return suspectedAt >= 0 && inputs.slice(suspectedAt).some(isCompletion);
 }
--- a/packages/model/src/lease_model.ts
+++ b/packages/model/src/lease_model.ts
@@ -64,7 +64,7 @@
   readonly step: leaseCore.LeaseStep | null;
   readonly startedAt: number;
   /** Number of restarts. */
-  readonly lives: number;
+  readonly restarts: number;
   /** The configuration revision that this VM knows. */
   readonly known: number;
 }
@@ -160,7 +160,7 @@
   ): LeaseModelState {
     const index = Number(process);
     const { core: lease, step, startedAt } = state.contenders[index]!;
-    const times = { startedAt, answeredAt: state.now };
+    const times = { startedAt, receivedAt: state.now };
     const event = leaseEvent(step!, times, outcome);
     const after = core.advanceLease(lease, event);
     return updateContender(state, index, {
@@ -179,13 +179,17 @@
   }
 
   function crash(state: LeaseModelState, index: number): LeaseModelState {
-    const lives = state.contenders[index]!.lives + 1;
+    const restarts = state.contenders[index]!.restarts + 1;
     const world = orphanCall(state.world, String(index));
     const left = { ...state.left, crashes: state.left.crashes - 1 };
-    const restarted = { core: newCore(index, lives), step: null, startedAt: 0 };
+    const restarted = {
+      core: newCore(index, restarts),
+      step: null,
+      startedAt: 0,
+    };
     return updateContender({ ...state, world, left }, index, {
       ...restarted,
-      lives,
+      restarts,
     });
   }
 
@@ -247,7 +251,7 @@
     index: number,
   ): readonly LeaseModelEvent[] {
     const events: LeaseModelEvent[] = [];
-    const isStopped = lease.belief.kind === "stopped";
+    const isStopped = lease.status.kind === "stopped";
     if (step === null && !isStopped) {
       if (state.left.calls > 0) {
         events.push({ type: "step", contender: index });
@@ -283,7 +287,7 @@
         core: newCore(index, 0),
         step: null,
         startedAt: 0,
-        lives: 0,
+        restarts: 0,
         known: revisions === 0 ? 0 : 1,
       })),
       left: { calls, crashes, stops, plans, revisions },
@@ -320,14 +324,14 @@
 
 function leaseEvent(
   step: leaseCore.LeaseStep,
-  times: { readonly startedAt: number; readonly answeredAt: number },
+  times: { readonly startedAt: number; readonly receivedAt: number },
   outcome: Delivery["outcome"],
 ): leaseCore.LeaseEvent {
   switch (outcome.kind) {
     case "rows": {
       const [lease, beat] = outcome.rows;
       const rows = { lease: lease!, beat: beat! };
-      return { kind: "rows", rows, answeredAt: times.answeredAt };
+      return { kind: "rows", rows, receivedAt: times.receivedAt };
     }
     case "result": {
       const sent = step as Extract<leaseCore.LeaseStep, { kind: "transact" }>;
--- a/packages/model/src/lease_model_test.ts
+++ b/packages/model/src/lease_model_test.ts
@@ -57,8 +57,8 @@
     ],
     [
       "takes over before the lease has expired",
-      "now - belief.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR",
-      "now >= belief.since",
+      "now - status.since >= contender.durationMs * TAKEOVER_WAIT_FACTOR",
+      "now >= status.since",
       EXPIRY,
       "two VMs with equal clocks never hold the lease at once",
     ],
@@ -71,8 +71,8 @@
     ],
     [
       "keeps using the lease while it releases it",
-      'belief: { kind: "stopped" } as const',
-      "belief",
+      'status: { kind: "stopped" } as const',
+      "status",
       HAND_OVER,
       "two VMs with equal clocks never hold the lease at once",
     ],
--- a/packages/model/src/main.ts
+++ b/packages/model/src/main.ts
@@ -86,9 +86,9 @@
  * reads the table late.
  */
 const PLAN_TERMS: readonly PlanTermBounds[] = [
-  { steps: 3, questions: 2, reads: 0, restarts: 0 },
-  { steps: 3, questions: 1, reads: 0, restarts: 1 },
-  { steps: 3, questions: 1, reads: 1, restarts: 0 },
+  { steps: 3, renewals: 2, reads: 0, restarts: 0 },
+  { steps: 3, renewals: 1, reads: 0, restarts: 1 },
+  { steps: 3, renewals: 1, reads: 1, restarts: 0 },
 ];
 
 /**
--- a/packages/model/src/plan_term_model.ts
+++ b/packages/model/src/plan_term_model.ts
@@ -50,7 +50,7 @@
   /** Steps of time, each a little longer than a term. */
   readonly steps: number;
   /** Renewal requests that `x` sends. */
-  readonly questions: number;
+  readonly renewals: number;
   /** Reads of the table by `x`, besides the one in flight at the start. */
   readonly reads: number;
   /** Restarts of `z`. */
@@ -224,7 +224,7 @@
   }
 
   function events(world: PlanTermWorld): readonly PlanTermEvent[] {
-    const mayAsk = world.vms.x.asked < bounds.questions;
+    const mayAsk = world.vms.x.requestsSent < bounds.renewals;
     const planArrivals = (["x", "z"] as const).flatMap((vm) =>
       world.plans
         .filter(({ sequence }) => sequence > world.vms[vm].sequence)
--- a/packages/model/src/plan_term_model_test.ts
+++ b/packages/model/src/plan_term_model_test.ts
@@ -16,12 +16,12 @@
 
 const PARTITION: PlanTermBounds = {
   steps: 3,
-  questions: 2,
+  renewals: 2,
   reads: 0,
   restarts: 0,
 };
-const RESTART: PlanTermBounds = { ...PARTITION, questions: 1, restarts: 1 };
-const READ: PlanTermBounds = { ...PARTITION, questions: 1, reads: 1 };
+const RESTART: PlanTermBounds = { ...PARTITION, renewals: 1, restarts: 1 };
+const READ: PlanTermBounds = { ...PARTITION, renewals: 1, reads: 1 };
 
 const TERM = corePath("plan_term/term.ts");
 const SILENCE = decisionPath("silence.ts");
@@ -40,7 +40,7 @@
   );
 
   it("lets the planner wait until an unresponsive VM's term has ended", () => {
-    const model = planTermModel({ ...PARTITION, questions: 0 });
+    const model = planTermModel({ ...PARTITION, renewals: 0 });
     expect(explore(model, [WAITED_OUT]).violation).toBeDefined();
   });
 
--- a/packages/model/src/table_world.ts
+++ b/packages/model/src/table_world.ts
@@ -13,10 +13,10 @@
   type TableResponse,
 } from "./table_model.ts";
 
-/** A call in flight; it has taken effect once `answer`, its response, is set. */
+/** A call in flight; it has taken effect once `response` is set. */
 interface PendingCall {
   readonly call: TableCall;
-  readonly answer?: TableResponse;
+  readonly response?: TableResponse;
 }
 
 /** The table, and the calls and responses in flight. */
@@ -33,7 +33,7 @@
 /** Events of the table and the network. */
 export type TableEvent =
   | { readonly type: "take-effect"; readonly process: string }
-  | { readonly type: "answer"; readonly process: string }
+  | { readonly type: "respond"; readonly process: string }
   | { readonly type: "lose"; readonly process: string }
   | { readonly type: "refuse"; readonly process: string }
   | { readonly type: "orphan-takes-effect"; readonly index: number };
@@ -56,8 +56,8 @@
 export function tableEvents(world: TableWorld): readonly TableEvent[] {
   const events: TableEvent[] = [];
   for (const [process, pending] of Object.entries(world.calls)) {
-    const tookEffect = pending.answer !== undefined;
-    events.push({ type: tookEffect ? "answer" : "take-effect", process });
+    const tookEffect = pending.response !== undefined;
+    events.push({ type: tookEffect ? "respond" : "take-effect", process });
     if (world.losses > 0) {
       events.push({ type: "lose", process });
       if (!tookEffect) {
@@ -75,7 +75,7 @@
 export function isTableEvent(event: { type: string }): event is TableEvent {
   switch (event.type) {
     case "take-effect":
-    case "answer":
+    case "respond":
     case "lose":
     case "refuse":
     case "orphan-takes-effect":
@@ -100,9 +100,9 @@
       };
       return { world: { ...world, rows, calls } };
     }
-    case "answer": {
-      const { call, answer } = world.calls[event.process]!;
-      const delivery = { process: event.process, call, outcome: answer! };
+    case "respond": {
+      const { call, response } = world.calls[event.process]!;
+      const delivery = { process: event.process, call, outcome: response! };
       return { world: withoutCall(world, event.process), delivery };
     }
     case "lose":
@@ -144,7 +144,7 @@
   const pending = world.calls[process];
   const after = withoutCall(world, process);
   const mayStillWrite = pending?.call.kind === "transact" &&
-    pending.answer === undefined;
+    pending.response === undefined;
   return mayStillWrite
     ? { ...after, orphans: [...after.orphans, pending.call] }
     : after;
--- a/packages/operator-api/src/client.ts
+++ b/packages/operator-api/src/client.ts
@@ -30,10 +30,10 @@
   readonly status: number;
   readonly errorBody: ErrorResponse | undefined;
 
-  constructor(message: string, status: number, answer?: ErrorResponse) {
+  constructor(message: string, status: number, errorBody?: ErrorResponse) {
     super(message);
     this.status = status;
-    this.errorBody = answer;
+    this.errorBody = errorBody;
   }
 }
 
--- a/packages/placement/src/choose_test.ts
+++ b/packages/placement/src/choose_test.ts
@@ -185,7 +185,7 @@
     const steering = steeringIn("north", [
       targetIn("north", "n"),
       targetIn("south", "s"),
-      { ...targetIn("north", "leaving"), leaving: true },
+      { ...targetIn("north", "leaving"), isLeaving: true },
     ]);
     steering.setEvacuated(new Set(["north-1"]));
     expect(targetOf(place(steering, "a"))).toBe("s");
--- a/packages/placement/src/round_trips.ts
+++ b/packages/placement/src/round_trips.ts
@@ -39,15 +39,15 @@
   }
 
   /** The round trip to a location. */
-  to(place: Location): number {
-    const measured = this.#measuredMs.get(place.zone);
+  to(location: Location): number {
+    const measured = this.#measuredMs.get(location.zone);
     if (measured !== undefined) {
       return measured;
     }
-    if (place.zone === this.#local.zone) {
+    if (location.zone === this.#local.zone) {
       return DEFAULT_ROUND_TRIP_MS.zone;
     }
-    return place.region === this.#local.region
+    return location.region === this.#local.region
       ? DEFAULT_ROUND_TRIP_MS.region
       : DEFAULT_ROUND_TRIP_MS.otherRegion;
   }
--- a/packages/placement/src/steering.ts
+++ b/packages/placement/src/steering.ts
@@ -405,7 +405,7 @@
       const { target, health } = entry;
       if (health.state === "in-use") {
         this.#unhealthy.delete(entry);
-      } else if (!target.leaving && health.probeDue(now)) {
+      } else if (!target.isLeaving && health.probeDue(now)) {
         due.push(target.id);
       }
     }
@@ -453,7 +453,7 @@
    * of the request.
    */
   #isEligible({ target, health }: Entry, request: PlacementRequest): boolean {
-    return !target.leaving &&
+    return !target.isLeaving &&
       health.state === "in-use" &&
       !this.#evacuated.has(target.zone) &&
       (request.regions.length === 0 || request.regions.includes(target.region));
--- a/packages/placement/src/target.ts
+++ b/packages/placement/src/target.ts
@@ -29,7 +29,7 @@
    * The target is shutting down: it completes its requests and must receive no new
    * ones.
    */
-  readonly leaving: boolean;
+  readonly isLeaving: boolean;
 }
 
 /** Location of a VM or target. */
--- a/packages/placement/src/target_index.ts
+++ b/packages/placement/src/target_index.ts
@@ -173,7 +173,7 @@
   #usableSlots(entries: readonly T[]): ReadonlyMap<RegionId, number> {
     const slots = new Map<RegionId, number>();
     for (const { target } of entries) {
-      if (!target.leaving && !this.#evacuated.has(target.zone)) {
+      if (!target.isLeaving && !this.#evacuated.has(target.zone)) {
         const before = slots.get(target.region) ?? 0;
         slots.set(target.region, before + target.slots);
       }
--- a/packages/placement/src/target_index_test.ts
+++ b/packages/placement/src/target_index_test.ts
@@ -33,7 +33,7 @@
     slots: 3,
     hash: hashText(`t-${name}`),
     coldPerSecond: 2,
-    leaving: false,
+    isLeaving: false,
     ...changes,
   };
 }
@@ -117,7 +117,7 @@
               set(target(name));
               break;
             case "leave":
-              set(target(name, { leaving: true }));
+              set(target(name, { isLeaving: true }));
               break;
             case "move":
               set(target(name, { region: REGIONS[0]!, slots: 9 }));
@@ -189,7 +189,9 @@
   { members, evacuated, object }: OrderInputs,
 ): readonly SteeredTarget[] {
   const slots = new Map<RegionId, number>();
-  for (const { region, zone, leaving, slots: targetSlots } of targets) {
+  for (
+    const { region, zone, isLeaving: leaving, slots: targetSlots } of targets
+  ) {
     if (!leaving && !evacuated.has(zone)) {
       slots.set(region, (slots.get(region) ?? 0) + targetSlots);
     }
--- a/packages/placement/src/testing.ts
+++ b/packages/placement/src/testing.ts
@@ -59,7 +59,7 @@
     slots: 3,
     hash: hashText(name),
     coldPerSecond: 5,
-    leaving: false,
+    isLeaving: false,
   };
 }
 
--- a/packages/standins/src/caller/attempt.ts
+++ b/packages/standins/src/caller/attempt.ts
@@ -71,7 +71,7 @@
   const headers: Record<string, string> = {
     "poplarthread-caller": names.caller,
     [ATTEMPT_HEADER]: names.attempt,
-    [RESPONSE_BYTES_HEADER]: String(kind.answerBytes),
+    [RESPONSE_BYTES_HEADER]: String(kind.responseBytes),
     [WORK_MS_HEADER]: String(kind.workMs),
   };
   if (req.key !== "") {
@@ -106,7 +106,7 @@
     key: req.key,
     body: req.body,
   });
-  const expected = responseBody(digest, req.kind.answerBytes);
+  const expected = responseBody(digest, req.kind.responseBytes);
   if (body.equals(expected)) {
     return { kind: "served" };
   }
--- a/packages/standins/src/caller/caller.ts
+++ b/packages/standins/src/caller/caller.ts
@@ -198,8 +198,8 @@
         return;
       case "answered-wrongly":
         increment(results.statuses, "200");
-        results.partialAnswers += result.fault === "partial" ? 1 : 0;
-        results.wrongAnswers += result.fault === "wrong" ? 1 : 0;
+        results.partialResponses += result.fault === "partial" ? 1 : 0;
+        results.wrongResponses += result.fault === "wrong" ? 1 : 0;
         return;
       case "refused":
         increment(results.statuses, `${result.reason} ${result.outcome}`);
--- a/packages/standins/src/caller/caller_test.ts
+++ b/packages/standins/src/caller/caller_test.ts
@@ -44,7 +44,7 @@
     const body = await readBytes(req);
     const key = String(req.headers["idempotency-key"]);
     const digest = requestDigest({ method: "POST", path: req.url!, key, body });
-    const complete = responseBody(digest, BOOKING.answerBytes);
+    const complete = responseBody(digest, BOOKING.responseBytes);
     res.end(complete.subarray(0, Math.floor(complete.length * share)));
   };
 }
@@ -74,7 +74,7 @@
   await withVm(respondWith(0.5), async (caller) => {
     await caller.send(BOOKING);
     expect(caller.results.report()).toMatchObject({
-      partialAnswers: 1,
+      partialResponses: 1,
       servedKeys: [],
     });
   });
--- a/packages/standins/src/caller/request_kind.ts
+++ b/packages/standins/src/caller/request_kind.ts
@@ -24,7 +24,7 @@
   /** Relative frequency in the mix. */
   readonly weight: number;
   readonly bodyBytes: number;
-  readonly answerBytes: number;
+  readonly responseBytes: number;
   /** Duration of the work on a warm target. */
   readonly workMs: number;
 }
@@ -32,10 +32,10 @@
 /** The kinds of requests that the callers of each deployment send. */
 export const MIXES: Readonly<Record<DeploymentName, readonly RequestKind[]>> = {
   hlasovka: [
-    idempotentKind("draft", "/drafts", { weight: 60, answerBytes: 20_000 }),
+    idempotentKind("draft", "/drafts", { weight: 60, responseBytes: 20_000 }),
     idempotentKind("past-comments", "/comments", {
       weight: 20,
-      answerBytes: 8_000,
+      responseBytes: 8_000,
     }),
     atMostOnceKind("comment", "/comments", { weight: 10, repeat: "keyed" }),
     atMostOnceKind("comment-unkeyed", "/comments", {
@@ -47,9 +47,9 @@
   kinolenta: [
     idempotentKind("playlist", "/playlists", {
       weight: 50,
-      answerBytes: 40_000,
+      responseBytes: 40_000,
     }),
-    idempotentKind("slots", "/slots", { weight: 20, answerBytes: 8_000 }),
+    idempotentKind("slots", "/slots", { weight: 20, responseBytes: 8_000 }),
     atMostOnceKind("booking", "/bookings", { weight: 15, repeat: "keyed" }),
     atMostOnceKind("booking-unkeyed", "/bookings", {
       weight: 2,
@@ -62,7 +62,10 @@
 function idempotentKind(
   name: string,
   path: string,
-  { weight, answerBytes }: { weight: number; answerBytes: number },
+  { weight, responseBytes: responseBytes }: {
+    weight: number;
+    responseBytes: number;
+  },
 ): RequestKind {
   return {
     name,
@@ -71,7 +74,7 @@
     repeat: "idempotent",
     weight,
     bodyBytes: 0,
-    answerBytes,
+    responseBytes,
     workMs: 30,
   };
 }
@@ -88,7 +91,7 @@
     repeat,
     weight,
     bodyBytes: 2_000,
-    answerBytes: 500,
+    responseBytes: 500,
     workMs: 60,
   };
 }
--- a/packages/standins/src/caller/results.ts
+++ b/packages/standins/src/caller/results.ts
@@ -28,9 +28,9 @@
   /** Attempts that got a response: `200`, or the refusal's reason and outcome. */
   readonly statuses: Readonly<Record<string, number>>;
   /** Responses that are complete in HTTP but whose body is truncated. */
-  readonly partialAnswers: number;
+  readonly partialResponses: number;
   /** Responses with the body of another request. */
-  readonly wrongAnswers: number;
+  readonly wrongResponses: number;
   /** Connections that broke after a request was sent on them, by VM address. */
   readonly brokenByVm: Readonly<Record<string, number>>;
   /** Connections that were not accepted, by VM address. */
@@ -54,8 +54,8 @@
 /** Collects the results of requests. */
 export class Results {
   requests = 0;
-  partialAnswers = 0;
-  wrongAnswers = 0;
+  partialResponses = 0;
+  wrongResponses = 0;
   lookups = 0;
   notRunAfterUnknown = 0;
   repeatsSent = 0;
@@ -79,8 +79,8 @@
       outcomes: this.outcomes,
       servedByKind: this.servedByKind,
       statuses: this.statuses,
-      partialAnswers: this.partialAnswers,
-      wrongAnswers: this.wrongAnswers,
+      partialResponses: this.partialResponses,
+      wrongResponses: this.wrongResponses,
       brokenByVm: this.brokenByVm,
       notTakenByVm: this.notTakenByVm,
       repeats: { sent: this.repeatsSent, served: this.repeatsServed },
--- a/packages/standins/src/cluster/processes.ts
+++ b/packages/standins/src/cluster/processes.ts
@@ -32,7 +32,7 @@
 export interface StartedProcess {
   readonly name: string;
   readonly pid: number;
-  /** First line on standard output; rejects if there is none within the time-out. */
+  /** First line on standard output; rejects if there is none within the timeout. */
   readonly firstLine: Promise<string>;
   readonly exited: Promise<ExitStatus>;
   /** Sends a signal; has no effect once the process has exited. */
--- a/packages/standins/src/cluster/violations.ts
+++ b/packages/standins/src/cluster/violations.ts
@@ -16,9 +16,9 @@
   /** Attempts that were refused as not run, but did run. */
   readonly falseNotRun: number;
   /** Responses that are complete in HTTP but whose body is truncated. */
-  readonly partialAnswers: number;
+  readonly partialResponses: number;
   /** Responses with the body of another request. */
-  readonly wrongAnswers: number;
+  readonly wrongResponses: number;
   /** Keys of requests that were served although no target ran them. */
   readonly servedNotRun: number;
 }
@@ -36,8 +36,8 @@
     ranTwice: [...keys, ...unkeyedAttempts(attempts)]
       .filter(([, count]) => count > 1).length,
     falseNotRun: notRun.filter((attempt) => attempts.has(attempt)).length,
-    partialAnswers: sum(results.map((report) => report.partialAnswers)),
-    wrongAnswers: sum(results.map((report) => report.wrongAnswers)),
+    partialResponses: sum(results.map((report) => report.partialResponses)),
+    wrongResponses: sum(results.map((report) => report.wrongResponses)),
     servedNotRun: served.filter((key) => !keys.has(key)).length,
   };
 }
--- a/packages/standins/src/cluster/wait.ts
+++ b/packages/standins/src/cluster/wait.ts
@@ -10,7 +10,7 @@
 const DEFAULT_TIMEOUT_MS = 30_000;
 const POLL_INTERVAL_MS = 50;
 
-/** Thrown when a condition is not met before the time-out. */
+/** Thrown when a condition is not met before the timeout. */
 export class WaitError extends Error {
   override readonly name = "WaitError";
 }
--- a/packages/standins/src/platform/faults.ts
+++ b/packages/standins/src/platform/faults.ts
@@ -48,7 +48,7 @@
   /** Calls refused by a rate limit; they had no effect. */
   throttled: number;
   /** Writes that took effect but whose response was not sent. */
-  answersLost: number;
+  responsesLost: number;
   listReads: number;
 }
 
--- a/packages/standins/src/platform/platform.ts
+++ b/packages/standins/src/platform/platform.ts
@@ -59,7 +59,7 @@
     reads: 0,
     writes: 0,
     throttled: 0,
-    answersLost: 0,
+    responsesLost: 0,
     listReads: 0,
   };
   #faults = NO_FAULTS;
@@ -110,7 +110,7 @@
       await sleep(delayMs);
     }
     if (store === "lose-answers" && isWrite) {
-      this.#counts.answersLost += 1;
+      this.#counts.responsesLost += 1;
       res.destroy();
       return;
     }
--- a/packages/standins/src/process/fixture.ts
+++ b/packages/standins/src/process/fixture.ts
@@ -19,7 +19,7 @@
   maxTargetsPerRegion: 2,
 };
 
-/** Time-out of one test; far above any test's duration, since tests wait for events. */
+/** Timeout of one test; far above any test's duration, since tests wait for events. */
 export const TEST_TIMEOUT_MS = 120_000;
 
 /** A running cluster, and callers that know all its VMs. */
@@ -88,8 +88,8 @@
   expect(await fixture.countViolations()).toEqual({
     ranTwice: 0,
     falseNotRun: 0,
-    partialAnswers: 0,
-    wrongAnswers: 0,
+    partialResponses: 0,
+    wrongResponses: 0,
     servedNotRun: 0,
   });
 }
--- a/packages/standins/src/process/platform_test.ts
+++ b/packages/standins/src/process/platform_test.ts
@@ -66,7 +66,7 @@
       });
       await cluster.setPlatformFaults({ store: "none" });
       const counts = await cluster.readPlatformCounts();
-      expect(counts.answersLost).toBeGreaterThan(0);
+      expect(counts.responsesLost).toBeGreaterThan(0);
       const audit = await cluster.operator(vms[1]!).audit({ limit: 100 });
       const switches = audit.filter(({ change }) => change.kind === "switch");
       expect(switches.map((entry) => entry.revision)).toEqual([revision]);
