--- a/packages/coordination/src/lease/lease_core.ts
+++ b/packages/coordination/src/lease/lease_core.ts
@@ -192,7 +192,7 @@
   state: LeaseState,
 ): { readonly state: LeaseState; readonly release: LeaseStep | undefined } {
   const { contender, status } = state;
-  const stopped = { ...state, belief: { kind: "stopped" } as const };
+  const stopped = { ...state, status: { kind: "stopped" } as const };
   return status.kind === "held"
     ? { state: stopped, release: releaseStep(contender, status) }
     : { state: stopped, release: undefined };
--- a/packages/model/src/table_world.ts
+++ b/packages/model/src/table_world.ts
@@ -96,7 +96,7 @@
       const { rows, response } = applyCall(world.rows, call);
       const calls = {
         ...world.calls,
-        [event.process]: { call, answer: response },
+        [event.process]: { call, response },
       };
       return { world: { ...world, rows, calls } };
     }
