--- a/packages/cli/src/commands/explain_request.ts
+++ b/packages/cli/src/commands/explain_request.ts
@@ -45,7 +45,7 @@
   }
   const timeline = reader.timeline();
   output.result(timeline, () => print(output, request, timeline));
-  return timeline.requestLines.length === 0 ? ExitCode.refused : ExitCode.ok;
+  return timeline.own.length === 0 ? ExitCode.refused : ExitCode.ok;
 }
 
 async function readLines(
@@ -65,14 +65,14 @@
   if (timeline.unreadable > 0) {
     output.note(`skipped ${timeline.unreadable} lines that are not log lines`);
   }
-  if (timeline.requestLines.length === 0) {
+  if (timeline.own.length === 0) {
     output.note(
       `no log line has request id ${request}: the log of its VM is missing, or the request ended in time while lines were thinned`,
     );
     return;
   }
-  const stateLines = new Set(timeline.stateChanges);
-  const lines = [...timeline.requestLines, ...timeline.stateChanges].toSorted(
+  const stateLines = new Set(timeline.beliefs);
+  const lines = [...timeline.own, ...timeline.beliefs].toSorted(
     byTime,
   );
   output.table(
--- a/packages/cli/src/request_timeline.ts
+++ b/packages/cli/src/request_timeline.ts
@@ -16,9 +16,9 @@
 /** The log lines that concern a request. */
 export interface RequestTimeline {
   /** Lines with the request's id, ordered by time. */
-  readonly requestLines: readonly LogLine[];
+  readonly own: readonly LogLine[];
   /** State changes on the request's VMs shortly before and during it: of its targets and services, and of the VM as a whole. */
-  readonly stateChanges: readonly LogLine[];
+  readonly beliefs: readonly LogLine[];
   /** Number of lines that are not JSON log lines, such as the truncated end of a file. */
   readonly unreadable: number;
 }
@@ -71,8 +71,8 @@
   timeline(): RequestTimeline {
     const requestLines = this.#requestLines.toSorted(byTime);
     return {
-      requestLines,
-      stateChanges: requestLines.length === 0
+      own: requestLines,
+      beliefs: requestLines.length === 0
         ? []
         : this.#stateChangesAround(requestLines),
       unreadable: this.#unreadable,
--- a/packages/cli/src/request_timeline_test.ts
+++ b/packages/cli/src/request_timeline_test.ts
@@ -19,14 +19,9 @@
 function timelineOf(request: string, lines: readonly string[]) {
   const reader = new RequestTimelineReader(request);
   lines.forEach((one) => reader.read(one));
-  const { requestLines, stateChanges, unreadable } = reader.timeline();
-  const messages = (list: typeof requestLines) =>
-    list.map(({ message }) => message);
-  return {
-    requestLines: messages(requestLines),
-    stateChanges: messages(stateChanges),
-    unreadable,
-  };
+  const { own, beliefs, unreadable } = reader.timeline();
+  const messages = (list: typeof own) => list.map(({ message }) => message);
+  return { own: messages(own), beliefs: messages(beliefs), unreadable };
 }
 
 const LINES = [
@@ -45,20 +40,20 @@
 
 test("a request's lines are in order of time, with the state changes of its targets", () => {
   expect(timelineOf("r-1", LINES)).toEqual({
-    requestLines: ["attempt failed", "request ended"],
-    stateChanges: ["zone evacuated", "target silent"],
+    own: ["attempt failed", "request ended"],
+    beliefs: ["zone evacuated", "target silent"],
     unreadable: 0,
   });
 });
 
 test("an unknown id has no lines", () => {
-  expect(timelineOf("r-7", LINES).requestLines).toEqual([]);
+  expect(timelineOf("r-7", LINES).own).toEqual([]);
 });
 
 test("truncated lines are counted and otherwise ignored", () => {
   const truncated = [...LINES, LINES[0]!.slice(0, 30), "not JSON", "{}", ""];
   expect(timelineOf("r-1", truncated)).toMatchObject({
-    requestLines: ["attempt failed", "request ended"],
+    own: ["attempt failed", "request ended"],
     unreadable: 3,
   });
 });
--- a/packages/daemon/src/gateway/caller_response.ts
+++ b/packages/daemon/src/gateway/caller_response.ts
@@ -49,7 +49,11 @@
     const framed = response.isChunked
       ? {
         ...response,
-        lines: [...response.rawHeaders, "content-length", String(body.length)],
+        rawHeaders: [
+          ...response.rawHeaders,
+          "content-length",
+          String(body.length),
+        ],
       }
       : response;
     if (!this.writeHead(framed)) {
